--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -210,9 +210,7 @@
     """Find the columns of load reports that we know, by what the settings say that they tell."""
     columns = listed(fields, "reporting.columns")
     told = {name: fields.get(f"family_info.report_{name}", "").replace(" ", "_") for name in columns}
-    return {
-        key: name for key, start in REPORTS.items() for name in columns if told[name].startswith(start)
-    }
+    return {key: name for key, start in REPORTS.items() for name in columns if told[name].startswith(start)}
 
 
 def read_settings(fields: Fields) -> api.Settings:
--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -148,7 +148,8 @@
         self.front.retune(new.settings)
         known = (*configuration.RELOADED, *configuration.IGNORED)
         wait = [
-            name for name in (field.name for field in fields(new))
+            name
+            for name in (field.name for field in fields(new))
             if name not in known and getattr(self.config, name) != getattr(new, name)
         ]
         taken = {name: getattr(new, name) for name in configuration.RELOADED}
--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -28,11 +28,29 @@
 
 
 LEASE_KEYS = (
-    "engine", "key", "ttl_s", "act_ms", "call_ms", "every_ms", "drift", "epoch", "clock_rate",
+    "engine",
+    "key",
+    "ttl_s",
+    "act_ms",
+    "call_ms",
+    "every_ms",
+    "drift",
+    "epoch",
+    "clock_rate",
 )
 SHARED_KEYS = (
-    "engine", "ttl_s", "call_ms", "every_ms", "drift", "clock_rate", "most", "reserve", "cold_sends",
-    "window_ms", "failures", "keep_ms",
+    "engine",
+    "ttl_s",
+    "call_ms",
+    "every_ms",
+    "drift",
+    "clock_rate",
+    "most",
+    "reserve",
+    "cold_sends",
+    "window_ms",
+    "failures",
+    "keep_ms",
 )
 
 
@@ -156,7 +174,9 @@
         kept(before.told, raw)
     told, again = dict(raw), before is not None
     names = (
-        ("name", "EDGE_NAME"), ("listen", "EDGE_LISTEN"), ("discovery", "EDGE_DISCOVERY"),
+        ("name", "EDGE_NAME"),
+        ("listen", "EDGE_LISTEN"),
+        ("discovery", "EDGE_DISCOVERY"),
         ("operator", "EDGE_OPERATOR"),
     )
     for key, name in names:
@@ -279,8 +299,10 @@
         raise ConfigError("shared.most: is missing: the most conductors that ever run at a time")
     try:
         budget = Budget(
-            number(raw, "cold_sends", 10.0, "shared."), window,
-            whole(raw, "most", 1, 1, "shared."), number(raw, "reserve", 0.3, "shared."),
+            number(raw, "cold_sends", 10.0, "shared."),
+            window,
+            whole(raw, "most", 1, 1, "shared."),
+            number(raw, "reserve", 0.3, "shared."),
         )
         rule = Rule(whole(raw, "failures", 3, 1, "shared."), milliseconds(raw, "keep_ms", 4000, "shared."))
         # A slice's term ends a window before the lease: what `act` is to a task, the window is to a slice.
@@ -439,5 +461,3 @@
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
         raise ConfigError("seed: must be a number in hex") from None
-
-
--- a/hoplane/core/figures.py
+++ b/hoplane/core/figures.py
@@ -31,7 +31,8 @@
     `current` counts the requests taken and not ended: no final answer yet, or a stream on its way.
     `cluster_unhealthy` counts the endpoints listed that get nothing new: draining, or set aside."""
     current = sum(
-        1 for request in state.requests.values()
+        1
+        for request in state.requests.values()
         if not request.closed or (request.began and any(not each.over for each in request.attempts))
     )
     servers = state.router.servers
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -115,11 +115,17 @@
             attempt = request.attempts[effect.attempt]
         forward = effect if isinstance(effect, ev.Forward) else None
         given_up = attempt is not None and attempt.abandoned is not None
-        return permits.may_send(permits.SendFacts(
-            now, client_gone, request is None or request.closed or request.began or given_up,
-            self.takes(effect.endpoint), deadline, forward and forward.until,
-            None if forward or attempt is None else not attempt.over,
-        ))
+        return permits.may_send(
+            permits.SendFacts(
+                now,
+                client_gone,
+                request is None or request.closed or request.began or given_up,
+                self.takes(effect.endpoint),
+                deadline,
+                forward and forward.until,
+                None if forward or attempt is None else not attempt.over,
+            )
+        )
 
     def began(self, id: str) -> bool:
         """Tell whether a request's answer has begun, with which all that was held for it is let go of."""
@@ -195,10 +201,24 @@
     cls = next((each for each in told.classes if each.name == event.cls), None)
     state.requests[event.id] = Request(event, now, now + event.patience, told.max_attempts, cls)
     yield ev.Wake(now + event.patience + BACKSTOP, (event.id, None, now))
-    yield from decide(state, now, api.Request(
-        event.id, event.cls, event.prompt, event.max_out, to_ns(event.patience),
-        event.session, event.prefix, event.prefix_len, None, event.tenant, event.retry, event.resumed,
-    ))
+    yield from decide(
+        state,
+        now,
+        api.Request(
+            event.id,
+            event.cls,
+            event.prompt,
+            event.max_out,
+            to_ns(event.patience),
+            event.session,
+            event.prefix,
+            event.prefix_len,
+            None,
+            event.tenant,
+            event.retry,
+            event.resumed,
+        ),
+    )
     yield from sweep_up(state, now, event.id)
 
 
@@ -228,9 +248,9 @@
     attempt = request.attempts[event.attempt]
     attempt.began = request.began = True
     request.left = None
-    yield from decide(state, now, api.FirstToken(
-        event.id, event.attempt, attempt.server, to_ns(now - attempt.sent)
-    ))
+    yield from decide(
+        state, now, api.FirstToken(event.id, event.attempt, attempt.server, to_ns(now - attempt.sent))
+    )
 
 
 def on_ended(state: Conductor, now: timedelta, event: ev.Ended) -> Iterator[ev.Effect]:
@@ -260,10 +280,20 @@
     yield from overdue(state, now, request)
     if not request.began and status is not Status.CONNECT_FAILED:
         yield from leave(state, now, request, attempt, status)
-    yield from decide(state, now, api.Outcome(
-        event.id, event.attempt, attempt.server, status, to_ns(now - attempt.sent),
-        request.closed, event.note, event.load,
-    ))
+    yield from decide(
+        state,
+        now,
+        api.Outcome(
+            event.id,
+            event.attempt,
+            attempt.server,
+            status,
+            to_ns(now - attempt.sent),
+            request.closed,
+            event.note,
+            event.load,
+        ),
+    )
     yield from sweep_up(state, now, event.id)
 
 
@@ -382,9 +412,17 @@
 
 
 HANDLERS: dict[type, Callable[..., Iterable[ev.Effect]]] = {
-    ev.Asked: on_asked, ev.Left: on_left, ev.Began: on_began, ev.Ended: on_ended,
-    ev.HoldAnswered: on_hold_answered, ev.Probed: on_probed, ev.Due: on_due, ev.Listed: on_listed,
-    ev.Turned: on_turned, ev.Reloaded: on_reloaded, ev.Judged: on_judged,
+    ev.Asked: on_asked,
+    ev.Left: on_left,
+    ev.Began: on_began,
+    ev.Ended: on_ended,
+    ev.HoldAnswered: on_hold_answered,
+    ev.Probed: on_probed,
+    ev.Due: on_due,
+    ev.Listed: on_listed,
+    ev.Turned: on_turned,
+    ev.Reloaded: on_reloaded,
+    ev.Judged: on_judged,
     ev.Closing: on_closing,
 }
 
@@ -400,10 +438,14 @@
     index, cap = len(request.attempts), request.cap
     role = next((k.role for k in state.settings.kinds if endpoint and k.name == endpoint.kind), None)
     request.attempts.append(Attempt(action.server, role is api.Role.READ, now))
-    denial = permits.may_repeat(permits.RepeatFacts(
-        role is api.Role.READ or request.repeatable or not request.has(api.Effect.UNSAFE),
-        request.may_have_run, index, cap or None,
-    ))
+    denial = permits.may_repeat(
+        permits.RepeatFacts(
+            role is api.Role.READ or request.repeatable or not request.has(api.Effect.UNSAFE),
+            request.may_have_run,
+            index,
+            cap or None,
+        )
+    )
     if denial is not None or request.closed or request.began or now >= request.deadline:
         status = Status.MOOT
     elif endpoint is None:
@@ -415,8 +457,13 @@
             yield ev.Wake(now + own, (action.request, index, request.taken))
         reads = role is api.Role.READ
         yield ev.Forward(
-            action.request, index, endpoint, patience, reads,
-            not reads and request.has(api.Effect.UNSAFE), None if reads else request.until,
+            action.request,
+            index,
+            endpoint,
+            patience,
+            reads,
+            not reads and request.has(api.Effect.UNSAFE),
+            None if reads else request.until,
         )
         return []
     request.attempts[index].over = True
@@ -471,7 +518,11 @@
 
 
 ACTIONS: dict[type, Callable[..., Iterable[ev.Effect]]] = {
-    api.Hold: hold, api.Probe: probe, api.Release: release, api.Cancel: cancel, api.Refuse: refuse,
+    api.Hold: hold,
+    api.Probe: probe,
+    api.Release: release,
+    api.Cancel: cancel,
+    api.Refuse: refuse,
     api.Fail: fail,
     api.SetTimer: lambda state, now, action: [ev.Wake(to_span(action.at), action.timer)],
     api.Log: lambda state, now, action: [ev.Say("module", {"text": action.text})],
--- a/hoplane/core/release.py
+++ b/hoplane/core/release.py
@@ -34,7 +34,7 @@
         zones.setdefault(each.zone, []).append(each)
     spot = crc32(id.encode())
     parts = [zones[name] for name in sorted(zones, key=lambda name: (name != zone, name))]
-    turned = [part[spot % len(part):] + part[:spot % len(part)] for part in parts]
+    turned = [part[spot % len(part) :] + part[: spot % len(part)] for part in parts]
     others = [each for row in zip_longest(*turned) for each in row if each is not None]
     while first or others:
         yield from others
--- a/hoplane/decision/rules.py
+++ b/hoplane/decision/rules.py
@@ -90,9 +90,14 @@
         self.timers = Timers()
         self.sweeping = self.watching = False
         self.handlers: dict[type, Callable[..., Job | None]] = {
-            api.Fleet: self.on_fleet, api.Request: self.on_request, api.FirstToken: self.on_first,
-            api.Place: self.on_place, api.Outcome: self.on_outcome, api.Gone: self.on_gone,
-            api.PeerMessage: self.on_peer, api.Probed: self.on_probed,
+            api.Fleet: self.on_fleet,
+            api.Request: self.on_request,
+            api.FirstToken: self.on_first,
+            api.Place: self.on_place,
+            api.Outcome: self.on_outcome,
+            api.Gone: self.on_gone,
+            api.PeerMessage: self.on_peer,
+            api.Probed: self.on_probed,
             api.Timer: lambda event: self.timers.fire(event.timer),
         }
 
@@ -611,14 +616,17 @@
         short = slack * self.settings.cold_share  # what a cold one takes longer for comes no more in time
         due = [s for s in room if self.due(s) and self.reading_time(self.unread(job, s)) < short]
         past.sort(key=lambda s: self.delay(s) + self.reading_time(s.waiting + self.unread(job, s)))
-        return sorted(room + past, key=lambda s: (
-            s in failed or s.doubt(self.now, DOUBT) > DOUBTED, s not in due))
+        return sorted(
+            room + past, key=lambda s: (s in failed or s.doubt(self.now, DOUBT) > DOUBTED, s not in due)
+        )
 
     def writers(self, job: Job) -> list[Server]:
         """Give the writers: a held place first, what failed or refused last, ties drawn lest all meet."""
         failed = {attempt.server for attempt in job.attempts if attempt.failed}
-        order = {s: (s is not job.place, s in failed, s in job.asked, self.cost(job, s))
-                 for s in self.usable(WRITERS, job.pair)}
+        order = {
+            s: (s is not job.place, s in failed, s in job.asked, self.cost(job, s))
+            for s in self.usable(WRITERS, job.pair)
+        }
         return sorted(order, key=order.__getitem__)
 
     def cost(self, job: Job, server: Server) -> float:
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -37,7 +37,9 @@
 def problem(status: int, text: str, pause: timedelta | None = None, close: bool = False) -> web.Response:
     """Give an error as v2 words it."""
     response = web.Response(
-        status=status, headers=advice(pause), body=orjson.dumps({"error": text}),
+        status=status,
+        headers=advice(pause),
+        body=orjson.dumps({"error": text}),
         content_type="application/json",
     )
     if close:
@@ -92,11 +94,17 @@
         raise ValueError(f"id: is needed, as requests of the class {name} must not run twice")
     patience = timedelta(milliseconds=fact(told, "time_left_ms", int, cls.deadline // 1_000_000))
     return Asked(
-        number, name,
-        fact(told, "prompt_len", int, size // 4), fact(told, "max_out", int, 256),
+        number,
+        name,
+        fact(told, "prompt_len", int, size // 4),
+        fact(told, "max_out", int, 256),
         max(timedelta(), min(patience, LONGEST) - MARGIN),
-        fact(told, "session", str, None), fact(told, "prefix", str, None), fact(told, "prefix_len", int, 0),
-        None, fact(told, "repeat", bool, False), once=None if cls.effect is Effect.SAFE else id,
+        fact(told, "session", str, None),
+        fact(told, "prefix", str, None),
+        fact(told, "prefix_len", int, 0),
+        None,
+        fact(told, "repeat", bool, False),
+        once=None if cls.effect is Effect.SAFE else id,
     )
 
 
--- a/hoplane/fronts/operator.py
+++ b/hoplane/fronts/operator.py
@@ -32,8 +32,12 @@
     """Answers the operator's calls from what the conductor tells."""
 
     def __init__(
-        self, address: tuple[str, int], ready: Callable[[], str | None], figures: Callable[[], dict],
-        leave: Callable[[], None], join: Callable[[], None],
+        self,
+        address: tuple[str, int],
+        ready: Callable[[], str | None],
+        figures: Callable[[], dict],
+        leave: Callable[[], None],
+        join: Callable[[], None],
     ) -> None:
         self.address, self.ready, self.figures, self.leave, self.join = address, ready, figures, leave, join
         self.open: OrderedDict[Line, None] = OrderedDict()
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -70,8 +70,13 @@
     if status not in STATES:
         log.seldom("list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains")
     return Endpoint(
-        text(each, "name"), text(each, "address"), text(each, "zone"), text(each, "type"), int(each["group"]),
-        STATES.get(status, State.DRAINING), float(each.get("weight", 1.0)),
+        text(each, "name"),
+        text(each, "address"),
+        text(each, "zone"),
+        text(each, "type"),
+        int(each["group"]),
+        STATES.get(status, State.DRAINING),
+        float(each.get("weight", 1.0)),
         timedelta(milliseconds=each.get("since_ms", 0)),
     )
 
@@ -114,10 +119,17 @@
         raise ValueError(f"{SESSION} and prefix: are at most {KEY_MOST} characters")
     repeat, tenant = headers.get(REPEAT), headers.get(ACCOUNT)
     return Asked(
-        id, cls, lengths["prompt_len"], lengths["max_out"],
+        id,
+        cls,
+        lengths["prompt_len"],
+        lengths["max_out"],
         max(timedelta(), timedelta(milliseconds=int(left)) - MARGIN),
-        session or None, prefix or None, lengths["prefix_len"],
-        tenant if tenant in tenants else None, repeat is not None and repeat != "again", repeat == "again",
+        session or None,
+        prefix or None,
+        lengths["prefix_len"],
+        tenant if tenant in tenants else None,
+        repeat is not None and repeat != "again",
+        repeat == "again",
     )
 
 
@@ -216,7 +228,7 @@
     def move(self, part: float) -> None:
         """Break off a part of what is open, the newest first: it has the longest way to go."""
         ids = list(self.runtime.exchanges)
-        for id in ids[len(ids) - ceil(part * len(ids)):]:
+        for id in ids[len(ids) - ceil(part * len(ids)) :]:
             self.runtime.feed(Closing(id))
 
     def turned(self, asked: Asked, response: web.Response) -> web.Response:
--- a/hoplane/lab/__main__.py
+++ b/hoplane/lab/__main__.py
@@ -59,12 +59,26 @@
     try:
         found = drill.play(plan)
     except TimeoutError as error:
-        return {"name": plan.name, "fenced": plan.fenced, "acts": 0, "tenures": 0, "refused": 0,
-                "faults": kinds, "wrong": [str(error)]}
+        return {
+            "name": plan.name,
+            "fenced": plan.fenced,
+            "acts": 0,
+            "tenures": 0,
+            "refused": 0,
+            "faults": kinds,
+            "wrong": [str(error)],
+        }
     faulty = ("loop_fault", "task_broke", "library")
     wrong = found.problems + [str(line) for line in found.events if line["event"] in faulty]
-    return {"name": plan.name, "fenced": plan.fenced, "acts": len(found.acts),
-            "tenures": len(found.tenures()), "refused": found.refused, "faults": kinds, "wrong": wrong}
+    return {
+        "name": plan.name,
+        "fenced": plan.fenced,
+        "acts": len(found.acts),
+        "tenures": len(found.tenures()),
+        "refused": found.refused,
+        "faults": kinds,
+        "wrong": wrong,
+    }
 
 
 @lab.command("drill")
@@ -77,7 +91,8 @@
     """Play drawn schedules of faults against real conductors that share a lease, and check all they did."""
     plans = [
         schedule.draw(seed, conductors, drill.TTL, drill.DRIFT, fenced)
-        for seed in range(first, first + seeds) for fenced in (True, False)
+        for seed in range(first, first + seeds)
+        for fenced in (True, False)
     ]
     total, wrong = {"acts": 0, "tenures": 0, "refused": 0}, 0
     with ProcessPoolExecutor(jobs) as pool:
@@ -117,8 +132,10 @@
             if out:
                 with out.open("ab") as file:
                     file.write(orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE))
-            click.echo(f"seed {found.seed}: {found.asks} asked, {found.served} served, "
-                       f"{len(found.problems)} broken rules{', void' if found.void else ''}")
+            click.echo(
+                f"seed {found.seed}: {found.asks} asked, {found.served} served, "
+                f"{len(found.problems)} broken rules{', void' if found.void else ''}"
+            )
             for problem in found.problems[:5]:
                 click.echo(f"  {problem}")
     click.echo(f"{seeds} soaks, {broken} with broken rules, {void} void")
--- a/hoplane/lab/bench.py
+++ b/hoplane/lab/bench.py
@@ -96,8 +96,7 @@
     async with Engine() as engine:
         clients = [Etcd([engine.address], timedelta(milliseconds=500)) for _ in range(conductors)]
         keepers = [
-            Keeper(f"bench/{at}", f"c{at}", terms, client, clock(), at)
-            for at, client in enumerate(clients)
+            Keeper(f"bench/{at}", f"c{at}", terms, client, clock(), at) for at, client in enumerate(clients)
         ]
         for keeper in keepers:
             keeper.log = Silent()
@@ -125,10 +124,12 @@
 
 def timed(call, found: HdrHistogram):
     """Count the time of each of a call."""
+
     async def wrapped(*arguments: object) -> None:
         begun = time.perf_counter()
         await call(*arguments)
         found.record_value(max(1, round((time.perf_counter() - begun) * 1e6)))
+
     return wrapped
 
 
--- a/hoplane/lab/drill.py
+++ b/hoplane/lab/drill.py
@@ -84,20 +84,49 @@
         self.address = own_address(who)
         self.file, self.log = folder / f"c{who}.toml", folder / f"c{who}.log"
         self.starts, self.killed = 0, False
-        (folder / f"{self.name}-clusters.json").write_bytes(orjson.dumps({"resources": [
-            {"@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster", "name": "m", "type": "EDS",
-             "metadata": {"filter_metadata": {"hoplane": {"kind": "mixed"}}}}]}))
-        endpoints = [{"endpoint": {"address": {"socket_address": {
-            "address": "127.0.0.1", "port_value": link.port}}}, "health_status": "HEALTHY",
-            "metadata": {"filter_metadata": {"hoplane": {
-                "name": f"r{at}", "since_ms": since[at] if since else 0}}}} for at, link in enumerate(acts)]
-        (folder / f"{self.name}-endpoints.json").write_bytes(orjson.dumps({"resources": [
-            {"@type": "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment", "cluster_name":
-            "m", "endpoints": [{"locality": {"zone": "z"}, "lb_endpoints": endpoints}]}]}))
+        (folder / f"{self.name}-clusters.json").write_bytes(
+            orjson.dumps(
+                {
+                    "resources": [
+                        {
+                            "@type": "type.googleapis.com/envoy.config.cluster.v3.Cluster",
+                            "name": "m",
+                            "type": "EDS",
+                            "metadata": {"filter_metadata": {"hoplane": {"kind": "mixed"}}},
+                        }
+                    ]
+                }
+            )
+        )
+        endpoints = [
+            {
+                "endpoint": {
+                    "address": {"socket_address": {"address": "127.0.0.1", "port_value": link.port}}
+                },
+                "health_status": "HEALTHY",
+                "metadata": {
+                    "filter_metadata": {"hoplane": {"name": f"r{at}", "since_ms": since[at] if since else 0}}
+                },
+            }
+            for at, link in enumerate(acts)
+        ]
+        (folder / f"{self.name}-endpoints.json").write_bytes(
+            orjson.dumps(
+                {
+                    "resources": [
+                        {
+                            "@type": "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
+                            "cluster_name": "m",
+                            "endpoints": [{"locality": {"zone": "z"}, "lb_endpoints": endpoints}],
+                        }
+                    ]
+                }
+            )
+        )
         self.file.write_text(
             f'name = "{self.name}"\nlisten = "{self.address}"\n'
             f'[xds]\nclusters = "{self.name}-clusters.json"\nendpoints = "{self.name}-endpoints.json"\n'
-            f'{part.format(engine=engine.address)}{SETTINGS}'
+            f"{part.format(engine=engine.address)}{SETTINGS}"
         )
 
     async def start(self) -> None:
--- a/hoplane/lab/engine.py
+++ b/hoplane/lab/engine.py
@@ -25,8 +25,11 @@
 
 EXPIRY = 0.02  # seconds between looks for leases that have run out
 TARGETS = {
-    "CREATE": ("created", "create_revision"), "MOD": ("changed", "mod_revision"),
-    "VERSION": ("version", "version"), "LEASE": ("lease", "lease"), "VALUE": ("value", "value"),
+    "CREATE": ("created", "create_revision"),
+    "MOD": ("changed", "mod_revision"),
+    "VERSION": ("version", "version"),
+    "LEASE": ("lease", "lease"),
+    "VALUE": ("value", "value"),
 }
 RESULTS = {"EQUAL": "=", "GREATER": ">", "LESS": "<", "NOT_EQUAL": "!"}
 
@@ -62,9 +65,12 @@
 def written(pair: Pair) -> dict:
     """Write a pair as the gateway does, defaults left out."""
     fields = {
-        "key": base64.b64encode(pair.key).decode(), "create_revision": str(pair.created),
-        "mod_revision": str(pair.changed), "version": str(pair.version),
-        "value": base64.b64encode(pair.value).decode(), "lease": str(pair.lease),
+        "key": base64.b64encode(pair.key).decode(),
+        "create_revision": str(pair.created),
+        "mod_revision": str(pair.changed),
+        "version": str(pair.version),
+        "value": base64.b64encode(pair.value).decode(),
+        "lease": str(pair.lease),
     }
     return {name: value for name, value in fields.items() if value not in ("0", "")}
 
@@ -91,10 +97,15 @@
     async def __aenter__(self) -> Engine:
         app = web.Application(middlewares=[self.faulty])
         calls = {
-            "/v3/lease/grant": self.grant, "/v3/lease/keepalive": self.keepalive,
+            "/v3/lease/grant": self.grant,
+            "/v3/lease/keepalive": self.keepalive,
             "/v3/lease/revoke": self.revoke,
-            "/v3/kv/put": self.put, "/v3/kv/range": self.range, "/v3/kv/deleterange": self.deleterange,
-            "/v3/kv/txn": self.txn, "/v3/kv/compaction": self.compaction, "/v3/watch": self.watch,
+            "/v3/kv/put": self.put,
+            "/v3/kv/range": self.range,
+            "/v3/kv/deleterange": self.deleterange,
+            "/v3/kv/txn": self.txn,
+            "/v3/kv/compaction": self.compaction,
+            "/v3/watch": self.watch,
             "/lab/faults": self.faults,
         }
         app.add_routes([web.post(path, handler) for path, handler in calls.items()])
@@ -115,8 +126,12 @@
         return timedelta(seconds=time.monotonic())
 
     def header(self) -> dict:
-        return {"cluster_id": str(self.store.cluster), "member_id": "1", "revision": str(self.store.revision),
-                "raft_term": str(self.lives + 1)}
+        return {
+            "cluster_id": str(self.store.cluster),
+            "member_id": "1",
+            "revision": str(self.store.revision),
+            "raft_term": str(self.lives + 1),
+        }
 
     def answer(self, **fields: object) -> web.Response:
         return web.json_response({"header": self.header(), **fields})
@@ -258,7 +273,11 @@
             await self.tell()
 
     async def state(self, _: web.Request) -> web.Response:
-        return web.json_response({
-            "revision": self.store.revision, "leases": len(self.store.leases), "calls": dict(self.calls),
-            "keys": {pair.key.decode(): pair.value.decode() for pair in self.store.pairs.values()},
-        })
+        return web.json_response(
+            {
+                "revision": self.store.revision,
+                "leases": len(self.store.leases),
+                "calls": dict(self.calls),
+                "keys": {pair.key.decode(): pair.value.decode() for pair in self.store.pairs.values()},
+            }
+        )
--- a/hoplane/lab/fleet.py
+++ b/hoplane/lab/fleet.py
@@ -85,9 +85,7 @@
 class Fleet:
     """One schedule at work: `cold` resources that started just now beside those that are `warm`."""
 
-    def __init__(
-        self, schedule: Schedule, per_second: float = 60, warm: int = 1, cold: int = 2
-    ) -> None:
+    def __init__(self, schedule: Schedule, per_second: float = 60, warm: int = 1, cold: int = 2) -> None:
         self.schedule, self.per_second, self.warm, self.cold = schedule, per_second, warm, cold
         self.answers: list[tuple[float, int, int]] = []
         self.failing: tuple[float, float] | None = None  # seconds from the start in which resource 0 fails
@@ -138,14 +136,14 @@
         answered: dict[int, int] = {}
         for _, _, status in self.answers:
             answered[status] = answered.get(status, 0) + 1
-        told = {r.name: audit(events, r.name) for r in self.resources[self.warm:]}
+        told = {r.name: audit(events, r.name) for r in self.resources[self.warm :]}
         most = {name: most_in(sorted(chain(*times.values())), window) for name, times in told.items()}
         totals, mine = ([line[0][key] for line in last if line] for key in ("counts", "mine"))
         sends = {each.name: each.sends for each in self.resources}
         found = Found(most, BOUND, answered, self.answers, totals, mine, sends, events, begun)
         over = {name: count for name, count in most.items() if count > BOUND}
         found.problems = [f"{name}: {count} sends in a window, of {BOUND}" for name, count in over.items()]
-        for each in self.resources[self.warm:]:
+        for each in self.resources[self.warm :]:
             found.problems += untold(each.name, each.sends, told[each.name])
         found.problems += [f"c{who} ended with status {s}" for who, s in enumerate(statuses) if s]
         return found
--- a/hoplane/lab/schedule.py
+++ b/hoplane/lab/schedule.py
@@ -5,8 +5,14 @@
 import random
 from dataclasses import dataclass, field
 
-LINK = {"request_ms": (0, 0), "reply_ms": (0, 0), "drop_requests": 0.0, "drop_replies": 0.0, "duplicate": 0.0,
-        "cut": False}
+LINK = {
+    "request_ms": (0, 0),
+    "reply_ms": (0, 0),
+    "drop_requests": 0.0,
+    "drop_replies": 0.0,
+    "duplicate": 0.0,
+    "cut": False,
+}
 HEALED: dict[str, object] = dict(LINK)
 
 
@@ -43,15 +49,17 @@
 def link_fault(rng: random.Random, ttl: float) -> dict:
     """Draw a fault of a link: cut, slow near the time to live, one way, or unreliable."""
     slow = [round(rng.uniform(0.1, 0.5) * ttl * 1000), round(rng.uniform(0.5, 1.2) * ttl * 1000)]
-    return rng.choice((
-        {"cut": True},
-        {"reply_ms": slow},
-        {"request_ms": slow},
-        {"drop_replies": 1.0},
-        {"drop_requests": 1.0},
-        {"drop_requests": 0.4, "drop_replies": 0.4},
-        {"duplicate": 1.0, "request_ms": [0, slow[1]]},
-    ))
+    return rng.choice(
+        (
+            {"cut": True},
+            {"reply_ms": slow},
+            {"request_ms": slow},
+            {"drop_replies": 1.0},
+            {"drop_requests": 1.0},
+            {"drop_requests": 0.4, "drop_replies": 0.4},
+            {"duplicate": 1.0, "request_ms": [0, slow[1]]},
+        )
+    )
 
 
 def draw(seed: int, conductors: int, ttl: float, drift: float, fenced: bool = True) -> Schedule:
--- a/hoplane/lab/share_bench.py
+++ b/hoplane/lab/share_bench.py
@@ -69,8 +69,15 @@
     spends: list[float] = []
     async with Engine() as engine:
         members = [
-            Sharing(f"e{at}", Etcd([engine.address], timedelta(milliseconds=500)), terms, Rule(),
-                    timedelta(milliseconds=200), clock(), at)
+            Sharing(
+                f"e{at}",
+                Etcd([engine.address], timedelta(milliseconds=500)),
+                terms,
+                Rule(),
+                timedelta(milliseconds=200),
+                clock(),
+                at,
+            )
             for at in range(conductors)
         ]
         for member in members:
--- a/hoplane/lab/soak.py
+++ b/hoplane/lab/soak.py
@@ -84,9 +84,11 @@
         """Bring the faults about under load, then end every conductor in order."""
         begun = now()
         clients = [
-            asyncio.create_task(Client(f"{self.plan.seed}-{each.number}-{at}", each, self.plan, self.record)
-                                .run(begun + PLAY))
-            for each in self.processes for at in range(self.plan.clients)
+            asyncio.create_task(
+                Client(f"{self.plan.seed}-{each.number}-{at}", each, self.plan, self.record).run(begun + PLAY)
+            )
+            for each in self.processes
+            for at in range(self.plan.clients)
         ]
         for event in self.plan.events:
             await asyncio.sleep(max(0.0, begun + event.at - now()))
--- a/hoplane/lab/soak_oracle.py
+++ b/hoplane/lab/soak_oracle.py
@@ -183,8 +183,11 @@
         return False
     parts = [line.split('"content":"')[1].split('"')[0].split("/") for line in lines[:-2]]
     order = [int(part[2]) for part in parts]
-    return {part[0] for part in parts} == {ask.id} and len({part[1] for part in parts}) == 1 \
+    return (
+        {part[0] for part in parts} == {ask.id}
+        and len({part[1] for part in parts}) == 1
         and order == list(range(len(order)))
+    )
 
 
 def check_sends(record: Record, ask: Ask, trace: Trace) -> Iterable[Problem]:
--- a/hoplane/lab/soak_plan.py
+++ b/hoplane/lab/soak_plan.py
@@ -117,5 +117,6 @@
     if rng.random() < 0.3:
         events.append(Event(rng.uniform(0, PLAY - 3), 2.0, "crowd", rng.randrange(size)))
     ordered = tuple(sorted(events, key=lambda each: (each.at, each.kind, each.target)))
-    return Plan(seed, size, readers, writers, rng.choice((0.4, 0.8, 1.5, 4.0)), 2, ordered,
-                call_faults(rng, size))
+    return Plan(
+        seed, size, readers, writers, rng.choice((0.4, 0.8, 1.5, 4.0)), 2, ordered, call_faults(rng, size)
+    )
--- a/hoplane/lab/soak_world.py
+++ b/hoplane/lab/soak_world.py
@@ -23,7 +23,7 @@
 RELEASE_WITHIN, DRAIN_GRACE, CONNECT_WITHIN = 0.5, 1.0, 0.25
 UNKNOWN_AFTER = 0.3  # seconds after which an endpoint answers that it knows of no read
 # As `run` in `deploy/balancer.toml`: SIGHUP does nothing until the program heeds it.
-RUN = "trap '' HUP; exec \"$0\" -c \"$1\""
+RUN = 'trap \'\' HUP; exec "$0" -c "$1"'
 STALLS, STALL_MOST = 0.02, 5.0  # the share of requests that stop midway, and the longest wait for an end
 GIVE_UP = 2.0  # seconds after a request's time for which its client still waits
 PORT = 8080
@@ -86,8 +86,16 @@
 
     def entry(self, status: str = "Ready") -> dict[str, object]:
         """Give what discovery tells of it."""
-        return {"name": self.name, "address": self.path.address, "zone": "z", "status": status, "weight": 1.0,
-                "type": "prefill" if self.reads else "decode", "group": 1, "since_ms": 0}
+        return {
+            "name": self.name,
+            "address": self.path.address,
+            "zone": "z",
+            "status": status,
+            "weight": 1.0,
+            "type": "prefill" if self.reads else "decode",
+            "group": 1,
+            "since_ms": 0,
+        }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         begun = 0.0
@@ -254,20 +262,44 @@
     def told(self) -> dict[str, object]:
         """Give the configuration, as the platform writes it."""
         nanos = 1_000_000_000
-        lanes = [{"name": name, "target": int(self.plan.deadline * nanos / 2), "idempotency": effect,
-                  "hard_limit": int(self.plan.deadline * nanos)} for name, effect in CLASSES]
+        lanes = [
+            {
+                "name": name,
+                "target": int(self.plan.deadline * nanos / 2),
+                "idempotency": effect,
+                "hard_limit": int(self.plan.deadline * nanos),
+            }
+            for name, effect in CLASSES
+        ]
         return {
-            "name": f"c{self.number}", "listen": f"{self.host}:{PORT}", "discovery": self.agent.address,
-            "seed": f"{self.plan.seed:x}{self.number:02x}", "limits": {"memory_mb": 192, "sockets": 1024},
+            "name": f"c{self.number}",
+            "listen": f"{self.host}:{PORT}",
+            "discovery": self.agent.address,
+            "seed": f"{self.plan.seed:x}{self.number:02x}",
+            "limits": {"memory_mb": 192, "sockets": 1024},
             "known": {"index": 0, "snapshot": True, "endpoints": self.fleet.entries()},
             "settings": {
-                "kinds": ["prefill", "decode"], "tick": 2000000, "my_zone": "z", "lanes": lanes,
-                "balancers": self.plan.conductors, "position": self.number,
-                "allowed": {"attempts_cap": 4, "cancel": True, "retry_after": True, "max_retry_after": nanos,
-                            "connect_timeout": int(CONNECT_WITHIN * nanos), "conn_idle": 15 * nanos},
-                "family_info": {"ahead": True, "local_read": False, "duty_by_kind": ["read", "write"],
-                                "release_within": int(RELEASE_WITHIN * nanos),
-                                "memory_tokens": [200000, 150000]},
+                "kinds": ["prefill", "decode"],
+                "tick": 2000000,
+                "my_zone": "z",
+                "lanes": lanes,
+                "balancers": self.plan.conductors,
+                "position": self.number,
+                "allowed": {
+                    "attempts_cap": 4,
+                    "cancel": True,
+                    "retry_after": True,
+                    "max_retry_after": nanos,
+                    "connect_timeout": int(CONNECT_WITHIN * nanos),
+                    "conn_idle": 15 * nanos,
+                },
+                "family_info": {
+                    "ahead": True,
+                    "local_read": False,
+                    "duty_by_kind": ["read", "write"],
+                    "release_within": int(RELEASE_WITHIN * nanos),
+                    "memory_tokens": [200000, 150000],
+                },
                 "rules": {"drain_grace": int(DRAIN_GRACE * nanos)},
             },
         }
@@ -282,7 +314,13 @@
         self.lives.append(life)
         log = (self.folder / f"c{self.number}.{len(self.lives)}.log").open("wb")
         self.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", RUN, sys.executable, (install if faults else "") + program, cwd=ROOT, stderr=log,
+            "/bin/sh",
+            "-c",
+            RUN,
+            sys.executable,
+            (install if faults else "") + program,
+            cwd=ROOT,
+            stderr=log,
             env={"EDGE_CONFIG": str(self.config), "TMPDIR": str(self.folder), "SSL_CERT_FILE": "/dev/null"},
         )
         log.close()
@@ -370,9 +408,14 @@
         left = self.rng.uniform(0.5, 1.0) * self.plan.deadline
         id = f"{self.name}-{self.count}"
         data = message(
-            "POST /v1/chat/completions HTTP/1.1", b'{"stream":true}' + b" " * self.rng.choice((0, 0, 20_000)),
-            Host="h", X_Correlation_Id=id, X_Service_Class=cls, X_Time_Left_Ms=int(left * 1000),
-            X_Facts="prompt_len=100,max_out=20", X_Session_Key=f"s{self.rng.randrange(40)}",
+            "POST /v1/chat/completions HTTP/1.1",
+            b'{"stream":true}' + b" " * self.rng.choice((0, 0, 20_000)),
+            Host="h",
+            X_Correlation_Id=id,
+            X_Service_Class=cls,
+            X_Time_Left_Ms=int(left * 1000),
+            X_Facts="prompt_len=100,max_out=20",
+            X_Session_Key=f"s{self.rng.randrange(40)}",
         )
         if self.rng.random() < 0.1:  # in two pieces, with a wait between
             self.writer.write(data[:60])
--- a/hoplane/lab/store.py
+++ b/hoplane/lab/store.py
@@ -85,7 +85,10 @@
 
 Operation = Put | Range | Delete
 SIGNS: dict[str, Callable] = {
-    "=": lambda a, b: a == b, "!": lambda a, b: a != b, ">": lambda a, b: a > b, "<": lambda a, b: a < b,
+    "=": lambda a, b: a == b,
+    "!": lambda a, b: a != b,
+    ">": lambda a, b: a > b,
+    "<": lambda a, b: a < b,
 }
 
 
@@ -197,8 +200,10 @@
         if revision <= self.compacted:
             raise Compacted(self.compacted + 1)
         return [
-            change for change in self.history
-            if change.pair.changed >= revision and (
+            change
+            for change in self.history
+            if change.pair.changed >= revision
+            and (
                 change.pair.key == key
                 or (end != b"" and key <= change.pair.key and (end == b"\0" or change.pair.key < end))
             )
--- a/hoplane/lease/etcd.py
+++ b/hoplane/lease/etcd.py
@@ -90,11 +90,16 @@
         twice, as over a bad link, finds the key under our own lease: it is ours then, too."""
         found = {"request_range": {"key": coded(key)}}
         put = {"request_put": {"key": coded(key), "value": coded(value), "lease": str(lease)}}
-        told = await self.call("kv/txn", {
-            "compare": [{"result": "EQUAL", "target": "CREATE", "key": coded(key), "create_revision": "0"}],
-            "success": [put, found],
-            "failure": [found],
-        })
+        told = await self.call(
+            "kv/txn",
+            {
+                "compare": [
+                    {"result": "EQUAL", "target": "CREATE", "key": coded(key), "create_revision": "0"}
+                ],
+                "success": [put, found],
+                "failure": [found],
+            },
+        )
         revision = self.number(told.get("header", {}), "revision")
         try:
             kvs = told["responses"][-1]["response_range"].get("kvs") or []
@@ -124,16 +129,19 @@
         """Write pairs (key, value, lease or 0) if these keys still have these revisions (0: not there).
 
         Gives whether it was written. Raises NoLease where a lease is not known, and writes nothing then."""
-        told = await self.call("kv/txn", {
-            "compare": [
-                {"result": "EQUAL", "target": "MOD", "key": coded(key), "mod_revision": str(revision)}
-                for key, revision in unchanged.items()
-            ],
-            "success": [
-                {"request_put": {"key": coded(key), "value": coded(value), "lease": str(lease)}}
-                for key, value, lease in puts
-            ],
-        })
+        told = await self.call(
+            "kv/txn",
+            {
+                "compare": [
+                    {"result": "EQUAL", "target": "MOD", "key": coded(key), "mod_revision": str(revision)}
+                    for key, revision in unchanged.items()
+                ],
+                "success": [
+                    {"request_put": {"key": coded(key), "value": coded(value), "lease": str(lease)}}
+                    for key, value, lease in puts
+                ],
+            },
+        )
         return told.get("succeeded") is True
 
     async def gone(self, key: bytes, revision: int) -> None:
@@ -169,5 +177,3 @@
             return int(told[name])
         except (KeyError, TypeError, ValueError):
             raise Unheard(f"{name}: missing in the answer") from None
-
-
--- a/hoplane/log.py
+++ b/hoplane/log.py
@@ -41,7 +41,7 @@
         """Write what waits; tell whether all of it went."""
         try:
             while self.rest and self.takes_more():
-                self.rest = self.rest[os.write(self.descriptor, self.rest[:PIPE_BUF]):]
+                self.rest = self.rest[os.write(self.descriptor, self.rest[:PIPE_BUF]) :]
         except OSError:
             return False
         return not self.rest
--- a/hoplane/net/aio.py
+++ b/hoplane/net/aio.py
@@ -246,8 +246,11 @@
     def denial(self, bytes_wait: bool) -> Denial | None:
         """Tell why it may not be closed, with or without bytes that wait to be read."""
         return permits.may_close(
-            request_open=not self.idle, bytes_wait=bytes_wait, age=self._loop.time() - self.since,
-            served=self.served, fresh=FRESH.total_seconds(),
+            request_open=not self.idle,
+            bytes_wait=bytes_wait,
+            age=self._loop.time() - self.since,
+            served=self.served,
+            fresh=FRESH.total_seconds(),
         )
 
     @property
@@ -352,7 +355,8 @@
             self.answered = True
             advice = b"Retry-After: 1\r\n" if self.door.advises else b""
             self.transport.write(
-                b"HTTP/1.1 503 Service Unavailable\r\n" + advice
+                b"HTTP/1.1 503 Service Unavailable\r\n"
+                + advice
                 + b"Connection: close\r\nContent-Length: 0\r\n\r\n"
             )
 
@@ -371,8 +375,13 @@
         # connections, and aiohttp's own wait for the rest of a body, which holds the answer's end back.
         super().__init__(handler, request_factory=self.make, handler_cancellation=True)
         self.caller = functools.partial(
-            Caller, self, loop=self._loop, auto_decompress=False, access_log=None,
-            keepalive_timeout=SILENT.total_seconds(), lingering_time=0,
+            Caller,
+            self,
+            loop=self._loop,
+            auto_decompress=False,
+            access_log=None,
+            keepalive_timeout=SILENT.total_seconds(),
+            lingering_time=0,
         )
         self.problem, self.most, self.turned_most, self.body_most = problem, most, turned_most, body_most
         self.lingering: OrderedDict[Caller, None] = OrderedDict()
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -72,8 +72,11 @@
     def tell(self) -> None:
         """Write what this process is, by renaming a whole file over the last one."""
         told = {
-            "pid": self.pid, "born": self.born_wall.total_seconds(), "open": self.open_now(),
-            "monotonic_born": self.born.total_seconds(), "monotonic_told": monotonic().total_seconds(),
+            "pid": self.pid,
+            "born": self.born_wall.total_seconds(),
+            "open": self.open_now(),
+            "monotonic_born": self.born.total_seconds(),
+            "monotonic_told": monotonic().total_seconds(),
         }
         new = self.path.with_suffix(".new")
         try:
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -170,9 +170,7 @@
             raise ValueError(f"POST {path}: needs somebody to decide whether it may go")
         # Guards against yarl writing a path or query anew: it passes on as it came.
         url = URL(f"http://{address}{path}", encoded=True)
-        return self.session.request(
-            method, url, allow_redirects=False, trace_request_ctx=sent, **more
-        )
+        return self.session.request(method, url, allow_redirects=False, trace_request_ctx=sent, **more)
 
     async def get(self, address: str, path: str, within: timedelta) -> tuple[int, bytes] | None:
         """Fetch a short text and give its status with it, None where it did not come."""
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -23,7 +23,11 @@
     """Makes the releases of one conductor. `path` gives the path of a request's release, None for none."""
 
     def __init__(
-        self, pool: Pool, state: Conductor, clock: Clock, path: Callable[[str], str | None],
+        self,
+        pool: Pool,
+        state: Conductor,
+        clock: Clock,
+        path: Callable[[str], str | None],
         report: Callable[[Violation, str], None],
     ) -> None:
         self.pool, self.state, self.clock, self.path, self.report = pool, state, clock, path, report
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -63,7 +63,11 @@
     """Holds the one conductor's state, its clock, its connections and what is out."""
 
     def __init__(
-        self, config: Config, pool: Pool, live_path: str, hold_path: Callable[[str], str | None] = nowhere,
+        self,
+        config: Config,
+        pool: Pool,
+        live_path: str,
+        hold_path: Callable[[str], str | None] = nowhere,
         read_report: Callable[[bytes], dict[str, float]] = untold,
     ) -> None:
         self.config, self.pool, self.clock = config, pool, Clock()
@@ -86,9 +90,15 @@
         # Asked as an attempt's bytes go, the last one of what must not run twice; set where it is shared.
         self.spend: Callable[[ev.Endpoint], bool] = lambda endpoint: True
         self.effects = {
-            ev.Forward: self.forward, ev.Abandon: self.abandon, ev.AskHold: self.ask_hold,
-            ev.Probe: self.probe, ev.LetGo: self.let_go, ev.Refuse: self.refuse, ev.Fail: self.fail,
-            ev.Wake: self.wake, ev.Say: self.say,
+            ev.Forward: self.forward,
+            ev.Abandon: self.abandon,
+            ev.AskHold: self.ask_hold,
+            ev.Probe: self.probe,
+            ev.LetGo: self.let_go,
+            ev.Refuse: self.refuse,
+            ev.Fail: self.fail,
+            ev.Wake: self.wake,
+            ev.Say: self.say,
         }
 
     def feed(self, event: ev.Event) -> None:
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -147,9 +147,7 @@
         self.leaving: float | None = None  # when the drain began, on the loop's clock
         self.draining: asyncio.Task | None = None
         self.open = 0
-        self.door = Door(
-            self.handle, problem, config.limits.clients, config.limits.turned_away, BODY_MOST
-        )
+        self.door = Door(self.handle, problem, config.limits.clients, config.limits.turned_away, BODY_MOST)
         self.door.advises = config.settings.retry_after
         self.listener: Listener | None = None
         self.ending = False  # SIGTERM came so long ago that SIGKILL could cut what is taken now
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -127,7 +127,8 @@
         cold = set()
         for runtime in self.runtimes():
             cold |= {
-                f"cold/{endpoint.name}" for number, endpoint in runtime.state.fleet.items()
+                f"cold/{endpoint.name}"
+                for number, endpoint in runtime.state.fleet.items()
                 if self.cold(runtime, number)
             }
         for name in set(self.sharing.purses) - cold:
@@ -145,6 +146,10 @@
     def tell(self) -> None:
         sharing = self.sharing
         self.log.info(
-            "fleet", members=sharing.members, counts=sharing.counter.total(), rounds=sharing.rounds,
-            clashes=sharing.clashes, mine=sharing.counter.mine,
+            "fleet",
+            members=sharing.members,
+            counts=sharing.counter.total(),
+            rounds=sharing.rounds,
+            clashes=sharing.clashes,
+            mine=sharing.counter.mine,
         )
--- a/hoplane/shared/verdicts.py
+++ b/hoplane/shared/verdicts.py
@@ -57,7 +57,7 @@
     def take(self, now: timedelta, conductor: str, ages: Ages, since: timedelta = timedelta()) -> None:
         """Take a conductor's report in, which replaces its last; `since`: how long ago it was written."""
         self.heard[conductor] = {
-            name: [now - since - age for age in each][-self.rule.need:] for name, each in ages.items()
+            name: [now - since - age for age in each][-self.rule.need :] for name, each in ages.items()
         }
 
     def forget(self, living: Iterable[str]) -> None:
@@ -70,7 +70,8 @@
         A conductor that tells of most endpoints has trouble of its own, and is not heard."""
         told = [list(each) for each in self.heard.values()]
         sources = [
-            reports for reports, names in zip(self.heard.values(), told, strict=True)
+            reports
+            for reports, names in zip(self.heard.values(), told, strict=True)
             if len(set(names) & set(listed)) <= max(1, len(listed) // 2)
         ]
         found: dict[str, list[timedelta]] = {}
--- a/hoplane/tool.py
+++ b/hoplane/tool.py
@@ -57,11 +57,14 @@
         socket = {"address": host, "port_value": port}
         lb_endpoints.append({"endpoint": {"address": {"socket_address": socket}}, "health_status": "HEALTHY"})
     cluster = {
-        "@type": TYPES + "cluster.v3.Cluster", "name": name, "type": "EDS",
+        "@type": TYPES + "cluster.v3.Cluster",
+        "name": name,
+        "type": "EDS",
         "metadata": {"filter_metadata": {"hoplane": {"kind": "mixed"}}},
     }
     load = {
-        "@type": TYPES + "endpoint.v3.ClusterLoadAssignment", "cluster_name": name,
+        "@type": TYPES + "endpoint.v3.ClusterLoadAssignment",
+        "cluster_name": name,
         "endpoints": [{"locality": {"zone": "local"}, "lb_endpoints": lb_endpoints}],
     }
     effect = "side_effect" if once else "pure"
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -18,8 +18,12 @@
 LOOK = timedelta(milliseconds=200)  # between looks at the files: a drain must count within 1 s
 OURS = "hoplane"  # our key in filter_metadata
 HEALTH = {  # whoever is not well gets nothing new, and ends what it has
-    "UNKNOWN": State.LIVE, "HEALTHY": State.LIVE, "DEGRADED": State.LIVE,
-    "DRAINING": State.DRAINING, "UNHEALTHY": State.DRAINING, "TIMEOUT": State.DRAINING,
+    "UNKNOWN": State.LIVE,
+    "HEALTHY": State.LIVE,
+    "DEGRADED": State.LIVE,
+    "DRAINING": State.DRAINING,
+    "UNHEALTHY": State.DRAINING,
+    "TIMEOUT": State.DRAINING,
 }
 
 
@@ -117,8 +121,14 @@
     except (TypeError, ValueError):
         raise Broken(f"{where}: load_balancing_weight and since_ms must be numbers") from None
     return Endpoint(
-        str(own.get("name") or address), address, zone, own["kind"],
-        crc32(f"{zone}/{rack}".encode()), HEALTH[health], weight, started,
+        str(own.get("name") or address),
+        address,
+        zone,
+        own["kind"],
+        crc32(f"{zone}/{rack}".encode()),
+        HEALTH[health],
+        weight,
+        started,
     )
 
 
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -92,10 +92,12 @@
         kinds, slow, answered = {o.kind for o in fates}, max((o.slow for o in fates), default=0), []
         lease = getattr(effect, "lease", 0)
         if not isinstance(effect, Revoke):
+
             def give_up():
                 if not answered:
                     answered.append(True)
                     self.give(who, Failed(effect.sent, lease))
+
             self.later(CALL / self.members[who].rate, give_up)
 
         def arrive():
@@ -105,8 +107,10 @@
                 if event is not None and not answered:
                     answered.append(True)
                     self.give(who, event)
+
             if "unheard" not in kinds:
                 self.later(slow if "slow back" in kinds else 2, back)
+
         if "lost" not in kinds:
             self.later(slow if "slow there" in kinds else 2, arrive)
 
@@ -157,7 +161,7 @@
 
     def overlaps(self):
         spans = sorted(self.spans)
-        pairs = ((a, b) for i, a in enumerate(spans) for b in spans[i + 1:])
+        pairs = ((a, b) for i, a in enumerate(spans) for b in spans[i + 1 :])
         return [(a, b) for a, b in pairs if a[2] != b[2] and b[0] < a[1]]
 
 
@@ -182,5 +186,3 @@
 
 def changed(terms, kind):
     return kind(**{name: getattr(terms, name) for name in ("ttl", "act", "drift", "least", "most", "epoch")})
-
-
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -140,20 +140,43 @@
 
 
 def entry(name, address, kind, status="Ready"):
-    return {"name": name, "address": address, "zone": "z", "type": kind, "group": 1, "status": status,
-            "weight": 1.0, "since_ms": 0}
+    return {
+        "name": name,
+        "address": address,
+        "zone": "z",
+        "type": kind,
+        "group": 1,
+        "status": status,
+        "weight": 1.0,
+        "since_ms": 0,
+    }
 
 
 SETTINGS = {
-    "kinds": ["prefill", "decode"], "tick": 2000000, "my_zone": "z", "balancers": 1, "position": 0,
+    "kinds": ["prefill", "decode"],
+    "tick": 2000000,
+    "my_zone": "z",
+    "balancers": 1,
+    "position": 0,
     "lanes": [
         {"name": "lookup", "target": 1200000000, "hard_limit": 5000000000, "idempotency": "pure"},
         {"name": "booking", "target": 2500000000, "hard_limit": 9000000000, "idempotency": "side_effect"},
     ],
-    "allowed": {"attempts_cap": 4, "cancel": True, "retry_after": True, "max_retry_after": 1000000000,
-                "connect_timeout": 250000000, "conn_idle": 15000000000},
-    "family_info": {"ahead": True, "local_read": False, "duty_by_kind": ["read", "write"],
-                    "release_within": 500000000, "memory_tokens": [200000, 150000]},
+    "allowed": {
+        "attempts_cap": 4,
+        "cancel": True,
+        "retry_after": True,
+        "max_retry_after": 1000000000,
+        "connect_timeout": 250000000,
+        "conn_idle": 15000000000,
+    },
+    "family_info": {
+        "ahead": True,
+        "local_read": False,
+        "duty_by_kind": ["read", "write"],
+        "release_within": 500000000,
+        "memory_tokens": [200000, 150000],
+    },
     "rules": {"drain_grace": 1000000000},
 }
 
@@ -210,8 +233,13 @@
     """Start the program; `first` is run in its process before it, as to make one of its spans long."""
     begin = ("-c", f"{first}\nimport sys; from hoplane import __main__ as it; sys.exit(it.start())")
     return await asyncio.create_subprocess_exec(
-        sys.executable, *(begin if first else ("-m", "hoplane")), *arguments, pass_fds=pass_fds,
-        env={**os.environ, **environ}, stderr=asyncio.subprocess.PIPE, limit=1 << 20,
+        sys.executable,
+        *(begin if first else ("-m", "hoplane")),
+        *arguments,
+        pass_fds=pass_fds,
+        env={**os.environ, **environ},
+        stderr=asyncio.subprocess.PIPE,
+        limit=1 << 20,
     )
 
 
@@ -233,9 +261,16 @@
     """Start the program as the platform does, before a discovery that lists the entries."""
     address = address or f"127.0.0.1:{free_port()}"
     async with Discovery(entries) as discovery:
-        told = {"name": "n1", "listen": address, "discovery": discovery.address, "seed": "8c1f",
-                "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-                "known": {"index": 0, "snapshot": True, "endpoints": entries}, **changes}
+        told = {
+            "name": "n1",
+            "listen": address,
+            "discovery": discovery.address,
+            "seed": "8c1f",
+            "limits": {"memory_mb": 192, "sockets": 1024},
+            "settings": SETTINGS,
+            "known": {"index": 0, "snapshot": True, "endpoints": entries},
+            **changes,
+        }
         file = tmp_path / "config.json"
         file.write_text(json.dumps(told))
         environ = {"EDGE_CONFIG": str(file), **(environ or {})}
@@ -248,5 +283,13 @@
 
 
 def chat(id="r1", cls="lookup", left=4000, body=b'{"stream":true}', facts=FACTS, query=""):
-    return message(f"POST /v1/chat/completions{query} HTTP/1.1", body, Host="h", X_Correlation_Id=id,
-                   X_Service_Class=cls, X_Time_Left_Ms=left, X_Facts=facts, X_Session_Key="s")
+    return message(
+        f"POST /v1/chat/completions{query} HTTP/1.1",
+        body,
+        Host="h",
+        X_Correlation_Id=id,
+        X_Service_Class=cls,
+        X_Time_Left_Ms=left,
+        X_Facts=facts,
+        X_Session_Key="s",
+    )
--- a/tests/test_aio.py
+++ b/tests/test_aio.py
@@ -48,6 +48,7 @@
         caller._waiter.set_result(None)
         assert not caller.idle, "a request has come"
         await session.close()
+
     asyncio.run(test())
 
 
@@ -64,6 +65,7 @@
             with pytest.raises(Spoilt):
                 async with asyncio.timeout(10), session.get(f"http://{server.address}/") as answer:
                     await answer.read()
+
     asyncio.run(test())
 
 
@@ -79,6 +81,7 @@
                 async with session.get(f"http://{server.address}/") as got:
                     assert await got.read() == b"x"
             assert connector.drop_idle() == 1 and not connector.broken
+
     asyncio.run(test())
 
 
@@ -126,6 +129,7 @@
             second, _ = await asyncio.wait_for(asyncio.gather(asked, raw.answer(same, b"two")), 10)
             assert second == b"two" and len(raw.taken) == (1 if came == "nothing" else 2)
         raw.listener.close()
+
     asyncio.run(test())
 
 
@@ -146,11 +150,13 @@
             for _ in range(3):
                 await asyncio.wait_for(asyncio.gather(raw.ask(session), raw.answer(raw.taken[1], b"4")), 10)
         raw.listener.close()
+
     asyncio.run(test())
 
 
 def test_what_is_given_up_goes_no_further_though_its_endpoint_reads_again():
     """An endpoint that takes nothing for a while: the rest of the request must not come once it does."""
+
     async def test():
         raw, loop, body = Raw(), asyncio.get_running_loop(), b"x" * 30_000_000
         raw.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -170,4 +176,5 @@
             assert 0 < got < len(body)
         made.close()
         raw.listener.close()
+
     asyncio.run(test())
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -76,6 +76,7 @@
         got = await ended(program, data.replace(b"/v1/chat/completions", path))
         assert time.monotonic() - begun < 3, name
         assert not got or got.split()[1][:1] in b"45", (name, got)
+
     await asyncio.gather(*(one(*each) for each in BAD.items()))
     assert not any(server.named("POST") for server in servers), "nothing of it was passed on"
 
@@ -86,6 +87,7 @@
             await all_end(program, b"/v1/chat/completions", [program.reader, program.writer])
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
+
     run(test())
 
 
@@ -95,6 +97,7 @@
             await all_end(program, b"/v2/models/desk/infer", [server])
             assert await status(program, infer()) == 200
             assert not await program.faults()
+
     run(test())
 
 
@@ -106,6 +109,7 @@
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
             calls = program.reader.named("POST") + program.writer.named("POST")
             assert {call[1].get("x-correlation-id", "before") for call in calls} <= {"before"}
+
     run(test())
 
 
@@ -125,6 +129,7 @@
             with open(f"/proc/{program.process.pid}/status") as told:
                 peak = next(int(line.split()[1]) for line in told if line.startswith("VmHWM"))
             assert peak < 64 * 1024, "kilobytes: nothing of it is kept"
+
     run(test())
 
 
@@ -143,6 +148,7 @@
             assert (await program.ask(chat(id="mine")))[0].split()[1] == "409"
             go_on.set()
             assert (await first)[0].split()[1] == "200" and len(program.writer.named("POST /v1/chat")) == 1
+
     run(test())
 
 
@@ -166,6 +172,7 @@
                 while not (got := await program.ask(chat(id=f"r{number}"))) or got[0].split()[1] != "200":
                     assert not got or got[0].split()[1] == "503"
                     await asyncio.sleep(float(got[1].get("retry-after", 0.2)) if got else 0.2)
+
     run(test())
 
 
@@ -194,6 +201,7 @@
 
 def writes(data, then=b"", go_on=None):
     """Play a writer whose stream is these bytes, on a connection that stays open."""
+
     async def play(call, writer):
         if not call[0].startswith("POST /v1/chat"):
             return await write_it(call, writer)
@@ -202,6 +210,7 @@
             await go_on.wait()
             writer.write(then)
         return await hang(call, writer)
+
     return play
 
 
@@ -234,6 +243,7 @@
         async with Resets(answer_v2) as server, sidecar(tmp_path / "v2", server, first=longer) as program:
             assert await status(program, infer()) == 200
             assert not server.left and len(server.calls) == 1
+
     run(test())
 
 
@@ -255,6 +265,7 @@
     async def test():
         tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(SPOILT.items()))
         await asyncio.gather(*tasks)
+
     run(test())
 
 
@@ -279,6 +290,7 @@
     async def test():
         tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(LATER.items()))
         await asyncio.gather(*tasks)
+
     run(test())
 
 
@@ -305,6 +317,7 @@
             for number in range(5):
                 first, _, body = await program.ask(chat(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
+
     run(test())
 
 
@@ -328,6 +341,7 @@
     async def test():
         tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(SPOILT.items()))
         await asyncio.gather(*tasks)
+
     run(test())
 
 
@@ -336,4 +350,5 @@
         async with desk(tmp_path, read=never_read) as program:
             program.reader.play = writes(b"\x80\x81\r\n\r\n")
             assert (await program.ask(chat(left=2000)))[0].split()[1] == "503"
+
     run(test())
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -20,7 +20,11 @@
         api.ClassSettings("safe", 10**9, 4 * 10**9, api.Effect.SAFE),
         api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
     ),
-    cancel=True, ahead=True, retry_after=True, max_retry_after=10**9, release_within=500_000_000,
+    cancel=True,
+    ahead=True,
+    retry_after=True,
+    max_retry_after=10**9,
+    release_within=500_000_000,
     tick=2_000_000,
 )
 
@@ -269,7 +273,8 @@
     told = []
     monkeypatch.setitem(core.state.router.handlers, api.Probed, lambda event: told.append(event))
     monkeypatch.setitem(
-        core.state.router.handlers, api.Timer,
+        core.state.router.handlers,
+        api.Timer,
         lambda event: core.state.router.actions.append(api.Probe(core.state.number("w"))),
     )
     (probe,) = core.do(ev.Due(1))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -84,6 +84,7 @@
 
 def test_idle_connections_close_while_a_request_is_taken_from_one():
     """Between two steps of aiohttp's: the request is out of its queue, and no handler has begun on it."""
+
     async def test():
         async with serving() as serves:
             make = serves.door.request_factory
@@ -96,6 +97,7 @@
             client = Client(serves.port)
             client.send(ASKED)
             assert (await client.answer()).endswith(b"well")
+
     run(test)
 
 
@@ -119,6 +121,7 @@
             if came == "half a head":
                 client.send(ASKED[20:])
             assert (await client.answer()).endswith(b"well")
+
     run(test)
 
 
@@ -137,6 +140,7 @@
             assert await clients[0].ended() == b"", "one that has long said nothing may go"
             clients[1].send(ASKED)
             assert (await clients[1].answer()).endswith(b"well")
+
     run(test)
 
 
@@ -157,6 +161,7 @@
             caller.half -= aio.SILENT.total_seconds() + 0.01
             caller._process_keepalive()
             assert await client.ended() == b""
+
     run(test)
 
 
@@ -176,12 +181,14 @@
             assert got.endswith(b"well") and b"Connection: close" in got
             assert await client.ended() == b""
             await stopping
+
     run(test, monkeypatch)
 
 
 @pytest.mark.parametrize("passes", [0, 1, 2, 3])
 def test_a_shutdown_finds_connections_that_wait_to_be_accepted(monkeypatch, passes):
     """Those that the loop is just accepting, and those that it has not come to yet."""
+
     async def test():
         async with serving(most=50) as serves:
             monkeypatch.setattr(server, "LINGER", timedelta())
@@ -194,6 +201,7 @@
             for client in clients:
                 assert (await client.answer()).endswith(b"well")
             await stopping
+
     run(test)
 
 
@@ -270,6 +278,7 @@
                 await within(asyncio.get_running_loop().sock_sendall(client, behind))
             client.close()
             await within(left.wait(), 5)
+
     run(test)
 
 
@@ -284,4 +293,5 @@
                 await asyncio.sleep(0)
             client.close()  # and no pass of the loop
             assert caller.gone
+
     run(test)
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -293,12 +293,15 @@
     assert ends == {"small": [api.Refuse], "large": []}
 
 
-@pytest.mark.parametrize("wait, retry, pauses", [
-    (600 * MS, False, []),  # taken
-    (600 * MS, True, [0]),  # another router may take it
-    (1000 * MS, False, [2]),  # told to stay away for what is past the limit
-    (1000 * MS, True, [2]),
-])
+@pytest.mark.parametrize(
+    "wait, retry, pauses",
+    [
+        (600 * MS, False, []),  # taken
+        (600 * MS, True, [0]),  # another router may take it
+        (1000 * MS, False, [2]),  # told to stay away for what is past the limit
+        (1000 * MS, True, [2]),
+    ],
+)
 def test_a_marked_repeat_is_turned_away_sooner_and_told_when_to_return(wait, retry, pauses):
     desk = Desk(writers_read=False, retry_after=True, max_retry_after=2 * S)
     desk.serve("before")
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -18,21 +18,40 @@
 FIXED = {
     "the holder cut off from the engine": Schedule("cut", 3, 6.5, (holder(1.5, 4.0, "link", cut=True),)),
     "the holder stopped past its lease, then resumed": Schedule(
-        "stop", 3, 7, (holder(1.5, 3.5, "stop"),),
+        "stop",
+        3,
+        7,
+        (holder(1.5, 3.5, "stop"),),
+    ),
+    "slow replies at the edge of the time to live": Schedule(
+        "slow",
+        3,
+        7,
+        (
+            holder(1.5, 4.0, "link", reply_ms=[250, 2100]),
+            Fault(2.0, 3.0, "link", 1, {"request_ms": [200, 1900]}),
+        ),
+    ),
+    "the engine restarts and loses its leases": Schedule(
+        "lost", 3, 5, (Fault(2.0, 0.1, "engine", 0, {"restart": "lose_leases"}),)
+    ),
+    "clocks that run fast and slow, and a holder that hears nothing": Schedule(
+        "skew",
+        3,
+        6.5,
+        (holder(1.5, 4.0, "link", drop_replies=1.0),),
+        (1 - drill.DRIFT, 1 + drill.DRIFT, 1.0),
+        fenced=False,
+    ),
+    "acts that are late on their way past the lease": Schedule(
+        "late",
+        3,
+        7,
+        (
+            holder(1.5, 1.0, "act", request_ms=[2300, 2600]),
+            holder(1.6, 4.0, "link", cut=True),
+        ),
     ),
-    "slow replies at the edge of the time to live": Schedule("slow", 3, 7, (
-        holder(1.5, 4.0, "link", reply_ms=[250, 2100]),
-        Fault(2.0, 3.0, "link", 1, {"request_ms": [200, 1900]}),
-    )),
-    "the engine restarts and loses its leases": Schedule("lost", 3, 5, (
-        Fault(2.0, 0.1, "engine", 0, {"restart": "lose_leases"}),
-    )),
-    "clocks that run fast and slow, and a holder that hears nothing": Schedule("skew", 3, 6.5, (
-        holder(1.5, 4.0, "link", drop_replies=1.0),
-    ), (1 - drill.DRIFT, 1 + drill.DRIFT, 1.0), fenced=False),
-    "acts that are late on their way past the lease": Schedule("late", 3, 7, (
-        holder(1.5, 1.0, "act", request_ms=[2300, 2600]), holder(1.6, 4.0, "link", cut=True),
-    )),
 }
 
 
@@ -67,15 +86,18 @@
     return Act(resource, who, token, begun, ended)
 
 
-@pytest.mark.parametrize(("acts", "everywhere", "count"), [
-    ([act("a", 1, 0, 2), act("b", 2, 2, 3)], True, 0),
-    ([act("a", 1, 0, 2), act("b", 2, 1, 3)], False, 1),
-    ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], False, 0),
-    ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], True, 1),
-    ([act("a", 1, 0, 5), act("a", 1, 1, 2), act("b", 2, 3, 4)], False, 1),
-    ([act("b", 2, 0, 1), act("a", 1, 2, 3)], False, 1),
-    ([act("a", 1, 0, 2), act("a", 2, 1, 3)], False, 1),
-])
+@pytest.mark.parametrize(
+    ("acts", "everywhere", "count"),
+    [
+        ([act("a", 1, 0, 2), act("b", 2, 2, 3)], True, 0),
+        ([act("a", 1, 0, 2), act("b", 2, 1, 3)], False, 1),
+        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], False, 0),
+        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], True, 1),
+        ([act("a", 1, 0, 5), act("a", 1, 1, 2), act("b", 2, 3, 4)], False, 1),
+        ([act("b", 2, 0, 1), act("a", 1, 2, 3)], False, 1),
+        ([act("a", 1, 0, 2), act("a", 2, 1, 3)], False, 1),
+    ],
+)
 def test_the_checker_finds_acts_that_overlap_and_tokens_that_fall(acts, everywhere, count):
     assert len(problems(acts, everywhere)) == count
 
--- a/tests/test_equal.py
+++ b/tests/test_equal.py
@@ -36,10 +36,18 @@
         writer.write(message("HTTP/1.1 200 OK", ANSWER))
 
 
-@pytest.mark.parametrize(("play", "lookup", "booking"), [
-    (well, 200, 200), (error, 503, 502), (close, 503, 502), (hang, 503, 502), (turn_away, 503, 503),
-    (busy, 503, 502),
-], ids=["well", "error", "close", "hang", "turn_away", "busy"])
+@pytest.mark.parametrize(
+    ("play", "lookup", "booking"),
+    [
+        (well, 200, 200),
+        (error, 503, 502),
+        (close, 503, 502),
+        (hang, 503, 502),
+        (turn_away, 503, 503),
+        (busy, 503, 502),
+    ],
+    ids=["well", "error", "close", "hang", "turn_away", "busy"],
+)
 @pytest.mark.parametrize("front", ["platform", "kserve"])
 def test_outcomes_are_equal(tmp_path, front, play, lookup, booking):
     async def test():
@@ -58,4 +66,5 @@
                     if cls == "booking" and play is not turn_away:
                         assert len(server.calls) - before == 1, "what may have run is sent once"
                 assert await program.stop() == 0
+
     asyncio.run(within(test(), 60))
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -18,25 +18,28 @@
     return load({}, path)
 
 
-@pytest.mark.parametrize(("part", "key"), [
-    ("[lease]\n", "lease.engine: "),
-    ('[lease]\nengine = ["nowhere"]\n', "lease.engine.0: "),
-    (f"[lease]\n{ENGINE}ttl = 5\n", "lease.ttl: is not known"),
-    (f"[lease]\n{ENGINE}ttl_s = 0\n", "lease.ttl_s: "),
-    (f"[lease]\n{ENGINE}act_ms = 2000\n", "lease.act_ms: too long"),
-    (f"[lease]\n{ENGINE}call_ms = 2000\n", "lease.call_ms: "),
-    (f"[lease]\n{ENGINE}drift = 0.5\n", "lease.drift: "),
-    (f'[lease]\n{ENGINE}drift = "low"\n', "lease.drift: must be a number"),
-    (f"[lease]\n{ENGINE}epoch = 0\n", "lease.epoch: "),
-    (f"[lease]\n{ENGINE}clock_rate = 9\n", "lease.clock_rate: "),
-    (f"[shared]\n{ENGINE}", "shared.most: is missing"),
-    (f"[shared]\n{ENGINE}most = 0\n", "shared.most: "),
-    (f"[shared]\n{ENGINE}most = 3\nreserve = 2\n", "shared.reserve: "),
-    (f"[shared]\n{ENGINE}most = 3\ncold_sends = 0\n", "shared.cold_sends: "),
-    (f"[shared]\n{ENGINE}most = 3\nwindow_ms = 4000\n", "shared.window_ms: too long"),
-    (f"[shared]\n{ENGINE}most = 3\nevery_ms = 3000\n", "shared.ttl_s: too short"),
-    (f"[shared]\n{ENGINE}most = 3\nfailures = 0\n", "shared.failures: "),
-])
+@pytest.mark.parametrize(
+    ("part", "key"),
+    [
+        ("[lease]\n", "lease.engine: "),
+        ('[lease]\nengine = ["nowhere"]\n', "lease.engine.0: "),
+        (f"[lease]\n{ENGINE}ttl = 5\n", "lease.ttl: is not known"),
+        (f"[lease]\n{ENGINE}ttl_s = 0\n", "lease.ttl_s: "),
+        (f"[lease]\n{ENGINE}act_ms = 2000\n", "lease.act_ms: too long"),
+        (f"[lease]\n{ENGINE}call_ms = 2000\n", "lease.call_ms: "),
+        (f"[lease]\n{ENGINE}drift = 0.5\n", "lease.drift: "),
+        (f'[lease]\n{ENGINE}drift = "low"\n', "lease.drift: must be a number"),
+        (f"[lease]\n{ENGINE}epoch = 0\n", "lease.epoch: "),
+        (f"[lease]\n{ENGINE}clock_rate = 9\n", "lease.clock_rate: "),
+        (f"[shared]\n{ENGINE}", "shared.most: is missing"),
+        (f"[shared]\n{ENGINE}most = 0\n", "shared.most: "),
+        (f"[shared]\n{ENGINE}most = 3\nreserve = 2\n", "shared.reserve: "),
+        (f"[shared]\n{ENGINE}most = 3\ncold_sends = 0\n", "shared.cold_sends: "),
+        (f"[shared]\n{ENGINE}most = 3\nwindow_ms = 4000\n", "shared.window_ms: too long"),
+        (f"[shared]\n{ENGINE}most = 3\nevery_ms = 3000\n", "shared.ttl_s: too short"),
+        (f"[shared]\n{ENGINE}most = 3\nfailures = 0\n", "shared.failures: "),
+    ],
+)
 def test_a_part_that_cannot_hold_is_refused_with_its_key(tmp_path, part, key):
     with pytest.raises(ConfigError, match="^" + re.escape(key)):
         read(tmp_path, part)
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -44,11 +44,25 @@
     for at, (address, health) in enumerate(servers):
         host, port = address.split(":")
         socket = {"address": host, "port_value": int(port)}
-        found.append({"endpoint": {"address": {"socket_address": socket}}, "health_status": health,
-                      "metadata": {"filter_metadata": {"hoplane": {"name": f"m{at}"}}}})
+        found.append(
+            {
+                "endpoint": {"address": {"socket_address": socket}},
+                "health_status": health,
+                "metadata": {"filter_metadata": {"hoplane": {"name": f"m{at}"}}},
+            }
+        )
     kind = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
-    return json.dumps({"resources": [{"@type": kind, "cluster_name": "desk", "endpoints": [
-        {"locality": {"zone": "z", "sub_zone": "k"}, "lb_endpoints": found}]}]})
+    return json.dumps(
+        {
+            "resources": [
+                {
+                    "@type": kind,
+                    "cluster_name": "desk",
+                    "endpoints": [{"locality": {"zone": "z", "sub_zone": "k"}, "lb_endpoints": found}],
+                }
+            ]
+        }
+    )
 
 
 @asynccontextmanager
@@ -68,8 +82,11 @@
 
 
 def infer(id="b1", cls="booking", model="desk", **parameters):
-    told = {"id": id, "parameters": {"service_class": cls, **parameters},
-            "inputs": [{"name": "text", "shape": [1], "datatype": "BYTES", "data": ["a desk"]}]}
+    told = {
+        "id": id,
+        "parameters": {"service_class": cls, **parameters},
+        "inputs": [{"name": "text", "shape": [1], "datatype": "BYTES", "data": ["a desk"]}],
+    }
     body = json.dumps(told).encode()
     return message(f"POST /v2/models/{model}/infer HTTP/1.1", body, Host="h", Content_Type="application/json")
 
@@ -100,6 +117,7 @@
             ((line, _, sent),) = server.calls
             assert line.startswith("POST /v2/models/desk/infer") and sent == data.partition(b"\r\n\r\n")[2]
             assert await program.stop() == 0
+
     run(test())
 
 
@@ -116,18 +134,26 @@
             await program.line("endpoints")
             first, _, _ = await program.ask(get("/v2/models/desk/ready"))
             assert first.split()[1] == "503"
+
     run(test())
 
 
-@pytest.mark.parametrize("data", [
-    message("POST /v2/models/desk/infer HTTP/1.1", b"{", Host="h"),
-    infer(cls="other"), infer(id=None), infer(time_left_ms="soon"), infer(prompt_len=-1),
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        message("POST /v2/models/desk/infer HTTP/1.1", b"{", Host="h"),
+        infer(cls="other"),
+        infer(id=None),
+        infer(time_left_ms="soon"),
+        infer(prompt_len=-1),
+    ],
+)
 def test_what_is_malformed_reaches_no_endpoint(tmp_path, data):
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
             assert await status(program, data) == 400
             assert not server.calls
+
     run(test())
 
 
@@ -143,6 +169,7 @@
                 await program.line("endpoints")
                 for number in range(8):
                     assert await status(program, infer(id=f"l{number}", cls="lookup")) == 200
+
     run(test())
 
 
@@ -165,6 +192,7 @@
             assert await status(program, infer(id="s", cls="lookup")) == 200
             assert await status(program, infer(id="s", cls="lookup")) == 200, "a safe one may run again"
             assert len(server.calls) == 4
+
     run(test())
 
 
@@ -177,6 +205,7 @@
             while await status(program, infer(id="b1")) == 503:
                 pass
             assert len(server.calls) >= 2
+
     run(test())
 
 
@@ -187,6 +216,7 @@
             assert await status(program, infer(cls=cls, time_left_ms=200)) == code
             assert (await within(server.closed.get()))[0].startswith("POST")
             assert await status(program, infer(cls=cls, time_left_ms=200)) == again
+
     run(test())
 
 
@@ -199,6 +229,7 @@
             writer.close()
             assert await within(server.closed.get())
             assert await status(program, infer()) == 409
+
     run(test())
 
 
@@ -215,6 +246,7 @@
             for number in range(5):
                 assert await status(program, infer(id=f"c{number}")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 5
+
     run(test())
 
 
@@ -233,6 +265,7 @@
             assert await status(program, infer(id="b1")) == 409, "the ledger goes on"
             assert await status(program, infer(id="b2")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 1
+
     run(test())
 
 
@@ -247,7 +280,8 @@
 
     async def test():
         async with (
-            Server(first_is_cut_off) as a, Server(first_is_cut_off) as b,
+            Server(first_is_cut_off) as a,
+            Server(first_is_cut_off) as b,
             sidecar(tmp_path, a, b, allowed="probes = true") as program,
         ):
             assert await status(program, infer(cls="lookup", session="s")) == 200
@@ -255,4 +289,5 @@
             assert cut_off.named("GET /v2/health/live") and not other.named("GET")
             assert len(cut_off.named("POST")) == len(other.named("POST")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
+
     run(test())
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -199,6 +199,7 @@
 
 def test_a_long_prompt_s_own_time_counts_as_far_as_a_router_knows_its_readers():
     """One of many guesses it too high: others' work slowed the reads that it goes by, and left more kept."""
+
     def ends(routers):
         desk = Desk(FLEET[1:], writers_read=False, routers=routers, retry_after=True)
         desk.ask("first")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -36,7 +36,11 @@
 KINDS = st.sampled_from(["lost", "unheard", "slow there", "slow back"])
 OUTAGES = st.lists(
     st.builds(
-        Outage, st.integers(0, 1), st.integers(0, 5000), st.integers(500, 3000), KINDS,
+        Outage,
+        st.integers(0, 1),
+        st.integers(0, 5000),
+        st.integers(500, 3000),
+        KINDS,
         st.one_of(st.integers(250, 299), st.integers(20, 2500)),
     ),
     max_size=5,
@@ -65,10 +69,13 @@
             yield from ((outages, rates) for rates in ((0.95, 1.0), (1.0, 1.0), (0.95, 1.05)))
 
 
-@pytest.mark.parametrize(("terms", "kind"), [
-    (changed(TERMS, Marginless), Holder),
-    (TERMS, FromAnswer),
-])
+@pytest.mark.parametrize(
+    ("terms", "kind"),
+    [
+        (changed(TERMS, Marginless), Holder),
+        (TERMS, FromAnswer),
+    ],
+)
 def test_the_search_finds_two_holders_once_the_margin_is_taken_away(terms, kind):
     found = [case for case in cases() if World(terms, case[1], case[0], kind).run(5_000).overlaps()]
     assert found
@@ -165,10 +172,16 @@
     assert high.token > low.token
 
 
-@pytest.mark.parametrize(("terms", "text"), [
-    ({"drift": 0.2}, "drift: "), ({"act": ms(0)}, "act_ms: "), ({"act": ms(700)}, "act_ms: too long"),
-    ({"epoch": 0}, "epoch: "), ({"least": ms(3000)}, "least_ms: "),
-])
+@pytest.mark.parametrize(
+    ("terms", "text"),
+    [
+        ({"drift": 0.2}, "drift: "),
+        ({"act": ms(0)}, "act_ms: "),
+        ({"act": ms(700)}, "act_ms: too long"),
+        ({"epoch": 0}, "epoch: "),
+        ({"least": ms(3000)}, "least_ms: "),
+    ],
+)
 def test_terms_that_cannot_be_kept_are_refused(terms, text):
     with pytest.raises(ValueError, match=text):
         Terms(**{"ttl": ms(2000), "act": ms(200), **terms})
@@ -218,6 +231,7 @@
                     await etcd.take(b"k", b"me", lease)
             finally:
                 await etcd.close()
+
     asyncio.run(play())
 
 
@@ -237,6 +251,7 @@
                     await asyncio.wait_for(watch, 2)
             finally:
                 await etcd.close()
+
     asyncio.run(play())
 
 
@@ -251,17 +266,21 @@
                 assert await etcd.grant(5) in well.store.leases
             finally:
                 await etcd.close()
+
     asyncio.run(play())
 
 
 def test_the_stand_in_words_what_is_wrong_as_the_gateway_does():
     async def play():
         async with Engine() as engine, aiohttp.ClientSession() as session:
+
             async def post(path, body):
                 async with session.post(f"http://{engine.address}{path}", json=body) as response:
                     return response.status, await response.json()
+
             assert (await post("/v3/lease/revoke", {"ID": "5"}))[0] == 404
             status, told = await post("/v3/kv/compaction", {"revision": "99"})
             assert status == 400 and "compacted" in told["message"]
             assert (await post("/v3/lease/grant", {}))[0] == 400
+
     asyncio.run(play())
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -229,8 +229,10 @@
 
 def test_a_reader_beside_few_writers_has_less_of_the_ring():
     fleet = (
-        *(entry(100 + n, "reader", 0) for n in range(3)), entry(200, "writer", 0),
-        entry(110, "reader", 1), *(entry(210 + n, "writer", 1) for n in range(3)),
+        *(entry(100 + n, "reader", 0) for n in range(3)),
+        entry(200, "writer", 0),
+        entry(110, "reader", 1),
+        *(entry(210 + n, "writer", 1) for n in range(3)),
     )
     ring = Desk(fleet=fleet).router.ring
     points = [server.entry.server for _, server in ring.points]
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -50,6 +50,7 @@
             assert first.startswith("HTTP/1.1 200")
             assert await call(address, b"what\n") == ["-ERR unknown call"]
             assert await program.stop() == 0
+
     run(test())
 
 
@@ -70,6 +71,7 @@
                 answer = await within(reader.read(), 1.5)
                 assert answer.startswith(b"-ERR") or answer == b""
             assert await program.stop() == 0
+
     run(test())
 
 
@@ -96,4 +98,5 @@
             first, _, _ = await program.ask(chat(id="again"))
             assert first.startswith("HTTP/1.1 200")
             assert await program.stop() == 0
+
     run(test())
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -88,8 +88,9 @@
 
     Give when each had its answer, and how many calls there were. All begin together, as after a release."""
     random_starts = random.Random(seed)
-    calls = [(random_starts.uniform(0, 0.2), n, asking(conductors, seed * 1000 + n, n))
-             for n in range(conductors)]
+    calls = [
+        (random_starts.uniform(0, 0.2), n, asking(conductors, seed * 1000 + n, n)) for n in range(conductors)
+    ]
     heapq.heapify(calls)
     free, told, asked = 0.0, [], 0
     while calls and calls[0][0] < until:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -18,16 +18,19 @@
 GOOD = SendFacts(ZERO, client_gone=False, ended=False, listed=True, deadline=SECOND, repeat_until=SECOND)
 
 
-@pytest.mark.parametrize("change, denial", [
-    ({}, None),
-    ({"client_gone": True}, Denial.CLIENT_GONE),
-    ({"ended": True}, Denial.ENDED),
-    ({"listed": False}, Denial.NOT_LISTED),
-    ({"deadline": ZERO}, Denial.DEADLINE_PASSED),
-    ({"repeat_until": ZERO}, Denial.REPEAT_WINDOW_PASSED),
-    ({"reads_out": False}, Denial.READ_ENDED),
-    ({"reads_out": True, "deadline": None, "repeat_until": None}, None),
-])
+@pytest.mark.parametrize(
+    "change, denial",
+    [
+        ({}, None),
+        ({"client_gone": True}, Denial.CLIENT_GONE),
+        ({"ended": True}, Denial.ENDED),
+        ({"listed": False}, Denial.NOT_LISTED),
+        ({"deadline": ZERO}, Denial.DEADLINE_PASSED),
+        ({"repeat_until": ZERO}, Denial.REPEAT_WINDOW_PASSED),
+        ({"reads_out": False}, Denial.READ_ENDED),
+        ({"reads_out": True, "deadline": None, "repeat_until": None}, None),
+    ],
+)
 def test_a_send_needs_a_client_a_time_a_window_and_an_endpoint(change, denial):
     assert permits.may_send(replace(GOOD, **change)) is denial
 
@@ -62,8 +65,15 @@
 
 
 ENDS = st.sampled_from([each for each in Status if each is not Status.MOOT])
-STEPS = st.lists(st.tuples(st.sampled_from(["end", "hold", "begin", "left", "due", "drain", "close"]),
-                           st.integers(0, 3), ENDS, st.integers(0, 900)), max_size=25)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["end", "hold", "begin", "left", "due", "drain", "close"]),
+        st.integers(0, 3),
+        ENDS,
+        st.integers(0, 900),
+    ),
+    max_size=25,
+)
 
 
 class Life:
@@ -111,7 +121,7 @@
             self.gone = True
             self.follow(self.core.do(ev.Left("q"), after))
         elif kind == "drain":
-            listed = list(self.core.state.fleet.values())[which % 3:][:1]
+            listed = list(self.core.state.fleet.values())[which % 3 :][:1]
             drained = tuple(replace(each, state=State.DRAINING) for each in listed)
             self.follow(self.core.do(ev.Listed(drained, False), after))
         elif kind == "close":
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -98,12 +98,14 @@
             (hold,) = await program.writer.wait_for("POST /v1/holds/r1")
             assert not program.reader.named("DELETE") and not program.writer.named("DELETE")
             assert await program.stop() == 0
+
     run(test())
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
 def test_each_event_reaches_the_client_before_the_next_is_written_through_a_stop_too(tmp_path, pieces):
     """The endpoint writes an event only once the client has the last: one held back would end the test."""
+
     async def test():
         had = asyncio.Queue()
 
@@ -115,7 +117,7 @@
             size = -(-len(EVENT) // pieces)
             for _ in range(4):
                 for at in range(0, len(EVENT), size):
-                    writer.write(chunk(EVENT[at:at + size]))
+                    writer.write(chunk(EVENT[at : at + size]))
                 await had.get()
             writer.write(chunk(USAGE + DONE) + b"0\r\n\r\n")
 
@@ -134,11 +136,13 @@
             assert DONE in rest and rest.endswith(b"0\r\n\r\n")
             assert await within(program.process.wait()) == 0
             writer.close()
+
     run(test())
 
 
 def test_a_key_by_which_endpoints_discard_repeats_passes_with_each_attempt(tmp_path):
     """Guards a class whose repeats an endpoint discards: without its key each would run."""
+
     async def test():
         async with desk(tmp_path) as program:
             more = b"Host: h\r\nidempotency-key: 20fb\r\nContent-Type: text/x"
@@ -150,24 +154,34 @@
                 assert with_key[1]["idempotency-key"] == "20fb" and with_key[1]["content-type"] == "text/x"
                 assert "idempotency-key" not in without[1]
                 assert without[1]["content-type"] == "application/json"
+
     run(test())
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (chat(left="soon"), 400), (chat(cls="other"), 400), (chat(id="a b"), 400),
-    (chat(facts="max_out=2"), 400), (chat(facts=FACTS + ",prefix=" + "x" * 300), 400),
-    (chat(body=b"{"), 400), (chat(body=b"[]"), 400),
-    (chat(body=b'"' + b"x" * 262144 + b'"'), 413),
-    (message("GET /v1/chat/completions HTTP/1.1", Host="h"), 405),
-    (message("GET /x HTTP/1.1", Host="h"), 404),
-    (b"nonsense\r\n\r\n", 400),
-], ids=range(11))
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (chat(left="soon"), 400),
+        (chat(cls="other"), 400),
+        (chat(id="a b"), 400),
+        (chat(facts="max_out=2"), 400),
+        (chat(facts=FACTS + ",prefix=" + "x" * 300), 400),
+        (chat(body=b"{"), 400),
+        (chat(body=b"[]"), 400),
+        (chat(body=b'"' + b"x" * 262144 + b'"'), 413),
+        (message("GET /v1/chat/completions HTTP/1.1", Host="h"), 405),
+        (message("GET /x HTTP/1.1", Host="h"), 404),
+        (b"nonsense\r\n\r\n", 400),
+    ],
+    ids=range(11),
+)
 def test_what_is_malformed_is_answered_and_sent_nowhere(tmp_path, data, status):
     async def test():
         async with desk(tmp_path) as program:
             assert (await program.ask(data))[0].split()[1] == str(status)
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
             assert len(program.reader.named("POST")) == 1, "only the good one reached a reader"
+
     run(test())
 
 
@@ -177,6 +191,7 @@
             body = b'{"a":"' + b"x" * (262144 - 8) + b'"}'
             assert (await program.ask(chat(body=body)))[0].split()[1] == "200"
             assert program.writer.named("POST /v1/chat")[0][2] == body
+
     run(test())
 
 
@@ -195,6 +210,7 @@
             assert (await within(read_message(reader)))[0].split()[1] == "100"
             writer.write(body)
             assert (await within(read_message(reader)))[0].split()[1] == "200"
+
     run(test())
 
 
@@ -214,6 +230,7 @@
             assert await within(idle.read()) == b""
             first, headers, _ = await program.ask(chat(id="over"))
             assert first.split()[1] == "503" and headers["retry-after"] and headers["connection"] == "close"
+
     run(test())
 
 
@@ -233,6 +250,7 @@
             got = await within(reader.read())
             assert EVENT in got and not got.endswith(b"0\r\n\r\n")
             assert len(program.writer.named("POST /v1/chat")) == 1, "nothing further is sent"
+
     run(test())
 
 
@@ -254,6 +272,7 @@
             assert (await program.ask(chat(cls=cls)))[0].split()[1] == status
             chats = program.writer.named("POST /v1/chat") + second.named("POST /v1/chat")
             assert len(chats) == times
+
     run(test())
 
 
@@ -266,6 +285,7 @@
             writer.close()
             assert (await within(program.reader.closed.get()))[0].startswith("POST /v1/chat")
             assert (await program.reader.wait_for("DELETE /v1/holds/r1")) or program.writer.named("DELETE")
+
     run(test())
 
 
@@ -275,6 +295,7 @@
             first, headers, _ = await program.ask(chat(left=300))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             await program.reader.wait_for("DELETE /v1/holds/r1")
+
     run(test())
 
 
@@ -287,6 +308,7 @@
             first, headers, _ = await program.ask(chat(left=9000))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             assert clock() - before < 3, "long before its deadline"
+
     run(test())
 
 
@@ -294,14 +316,13 @@
     async def test():
         async with Server(write_it) as second, desk(tmp_path) as program:
             drained = entry("w1", program.writer.address, "decode", "Terminating")
-            await program.discovery.tell(
-                [program.entries[0], drained, entry("w2", second.address, "decode")]
-            )
+            await program.discovery.tell([program.entries[0], drained, entry("w2", second.address, "decode")])
             while (await program.line("endpoints"))["not_live"] != {"w1": "draining"}:
                 pass
             for number in range(6):
                 assert (await program.ask(chat(id=f"r{number}")))[0].split()[1] == "200"
             assert not program.writer.named("POST") and len(second.named("POST /v1/chat")) == 6
+
     run(test())
 
 
@@ -332,6 +353,7 @@
             go_on.set()
             assert (await within(read_message(reader)))[2] == EVENT + DONE
             assert await within(program.process.wait()) == 0
+
     run(test())
 
 
@@ -340,6 +362,7 @@
         with pytest.raises(AssertionError, match="limits.sockets: must be at least 64"):
             async with platform(tmp_path, [], limits={"memory_mb": 192, "sockets": 32}):
                 pass
+
     run(test())
 
 
@@ -348,13 +371,16 @@
         async with desk(tmp_path, read=hang) as program:
             assert (await program.ask(chat(left=300)))[0].split()[1] == "503"
             assert await program.writer.wait_for("DELETE /v1/holds/r1")
+
     run(test())
 
 
 def test_one_of_many_keeps_its_turn_at_a_discovery_that_is_slow(tmp_path):
     """Guards against calls given up and made anew, which hold an overbooked discovery down for all."""
+
     async def test():
         async with desk(tmp_path, settings={**SETTINGS, "balancers": 40, "discovery": "ask"}) as program:
+
             async def slow(call, writer):
                 await asyncio.sleep(1.2)
                 body = {"index": 9, "endpoints": [{**program.entries[0], "status": "Gone"}]}
@@ -394,6 +420,7 @@
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             await program.line("discovery_back")
+
     run(test())
 
 
@@ -412,6 +439,7 @@
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             assert asyncio.get_running_loop().time() - begun < 2
+
     run(test())
 
 
@@ -433,6 +461,7 @@
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             assert asyncio.get_running_loop().time() - begun < most
+
     run(test())
 
 
@@ -479,6 +508,7 @@
             told = await tell(listed(reader, odd, index=3, whole=True), "endpoints")
             assert told["not_live"] == {"w1": "draining"}, "an unknown status gets nothing new"
             assert not [line for line in await program.faults() if line["event"] == "task_broke"]
+
     run(test())
 
 
@@ -492,6 +522,7 @@
         async with platform(tmp_path, listed, known=known) as program:
             states = [line["not_live"] for line in program.log if line["event"] == "endpoints"]
             assert states == [{}, {"r1": "draining"}], "both before the line `started`"
+
     run(test())
 
 
@@ -521,6 +552,7 @@
                 await moved.tell([{**listed[0], "status": "Terminating"}])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
+
     run(test())
 
 
@@ -544,12 +576,14 @@
             go_on.set()
             assert (await program.line("endpoints"))["not_live"] == {"r1": "draining"}
             assert program.discovery.play is not play and await silent.wait_for("GET /registry/instances")
+
     run(test())
 
 
 @pytest.mark.parametrize("reloads", [1, 2])
 def test_what_an_agent_before_tells_once_the_newest_has_answered_is_too_old(tmp_path, reloads):
     """With two reloads the agent between is silent."""
+
     async def test():
         async with desk(tmp_path) as program, Server(hang) as silent:
             entries, go_on, done = program.entries, asyncio.Event(), asyncio.Event()
@@ -575,6 +609,7 @@
                 await program.stop()
                 rest = (await within(program.process.stderr.read())).splitlines()
                 assert not [line for line in rest if b'"endpoints"' in line], "nothing of it was taken"
+
     run(test())
 
 
@@ -596,8 +631,14 @@
             await hang(call, writer)
 
         async with Server(ended) as agent:
-            told = {"name": "n1", "listen": f"127.0.0.1:{free_port()}", "discovery": agent.address,
-                    "seed": "8c1f", "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS}
+            told = {
+                "name": "n1",
+                "listen": f"127.0.0.1:{free_port()}",
+                "discovery": agent.address,
+                "seed": "8c1f",
+                "limits": {"memory_mb": 192, "sockets": 1024},
+                "settings": SETTINGS,
+            }
             (tmp_path / "config.json").write_text(json.dumps(told))
             first = LOADING if when == "modules are loaded" else ""
             process = await spawn(EDGE_CONFIG=str(tmp_path / "config.json"), first=first)
@@ -605,17 +646,25 @@
             assert await within(process.wait()) == 0, log
             assert b'"started"' not in log and b"Traceback" not in log
             assert (b'"stopped"' in log) is (not first)
+
     run(test())
 
 
 def test_a_sighup_while_the_program_starts_is_heeded_once_it_has(tmp_path):
     """Its default would end the process, and the file may be newer than the one that was read."""
+
     async def test():
         entries = [entry("r1", "127.0.0.1:9", "prefill")]
         async with Discovery(entries) as old, Discovery(entries) as moved:
             address = f"127.0.0.1:{free_port()}"
-            told = {"name": "n1", "listen": address, "discovery": old.address, "seed": "8c1f",
-                    "limits": {"memory_mb": 192, "sockets": 1024}, "settings": SETTINGS}
+            told = {
+                "name": "n1",
+                "listen": address,
+                "discovery": old.address,
+                "seed": "8c1f",
+                "limits": {"memory_mb": 192, "sockets": 1024},
+                "settings": SETTINGS,
+            }
             file = tmp_path / "config.json"
             file.write_text(json.dumps(told))
             play = old.play
@@ -628,8 +677,11 @@
 
             old.play = as_it_starts
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", f"trap '' HUP; echo >&2; exec {sys.executable} -m hoplane",
-                env={**os.environ, "EDGE_CONFIG": str(file)}, stderr=asyncio.subprocess.PIPE,
+                "/bin/sh",
+                "-c",
+                f"trap '' HUP; echo >&2; exec {sys.executable} -m hoplane",
+                env={**os.environ, "EDGE_CONFIG": str(file)},
+                stderr=asyncio.subprocess.PIPE,
             )
             try:
                 assert await process.stderr.readline() == b"\n"
@@ -647,6 +699,7 @@
                 with suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
+
     run(test())
 
 
@@ -669,6 +722,7 @@
             for _, writer in idle:
                 writer.close()
             assert not await program.faults()
+
     run(test())
 
 
@@ -690,6 +744,7 @@
                 with suppress(TimeoutError):
                     await asyncio.wait_for(asyncio.shield(program.process.wait()), 0.002)
             assert program.process.returncode == 0
+
     run(test())
 
 
@@ -710,6 +765,7 @@
                 peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
             assert peak < 96 * 1024, "kilobytes, at the most that it ever held"
             assert await program.stop() == 0
+
     run(test())
 
 
@@ -728,7 +784,8 @@
     async def test():
         told = {"report_x0": "share of memory that is held", "report_x1": "thousands of prompt tokens"}
         settings = {
-            **SETTINGS, "allowed": {**SETTINGS["allowed"], "probes": True},
+            **SETTINGS,
+            "allowed": {**SETTINGS["allowed"], "probes": True},
             "reporting": {"how": "piggyback", "columns": ["latency_ms", "x0", "x1"]},
             "family_info": {**SETTINGS["family_info"], **told},
         }
@@ -742,6 +799,7 @@
             silent, other = sorted((program.reader, r2), key=lambda r: not r.address.endswith(str(lost[0])))
             assert len(silent.named("GET /stats")) >= 2 and not silent.named("GET /health")
             assert len(silent.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
+
     run(test())
 
 
@@ -757,7 +815,8 @@
     async def test():
         settings = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probes": True}}
         async with (
-            desk(tmp_path, first_is_cut_off, settings=settings) as program, Server(first_is_cut_off) as r2,
+            desk(tmp_path, first_is_cut_off, settings=settings) as program,
+            Server(first_is_cut_off) as r2,
         ):
             await program.discovery.tell([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
@@ -767,6 +826,7 @@
             assert cut_off.named("GET /health/live") and not other.named("GET /health/live")
             assert len(cut_off.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
+
     run(test())
 
 
@@ -779,8 +839,11 @@
         settings = {**SETTINGS, "balancers": 1100, "position": 1099}
         async with Server(read_it) as reader, Server(write_it) as writer:
             servers = {"prefill": reader, "decode": writer}
-            listed = [entry(f"{kind}-{n}", server.address, kind)
-                      for n in range(550) for kind, server in servers.items()]
+            listed = [
+                entry(f"{kind}-{n}", server.address, kind)
+                for n in range(550)
+                for kind, server in servers.items()
+            ]
             known = {"index": 0, "snapshot": True, "endpoints": listed[:2]}
             async with platform(tmp_path, listed, known=known, settings=settings) as program:
                 assert [line["known"] for line in program.log if line["event"] == "endpoints"] == [2, 1100]
@@ -790,4 +853,5 @@
                     assert (await program.ask(chat(f"r{n}")))[0].split()[1] == "200"
                 assert status(program, "VmHWM:") < 192 * 1024
                 assert len(list(Path(f"/proc/{program.process.pid}/fd").iterdir())) < 1024
+
     run(test())
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -31,7 +31,7 @@
     assert asked[0] is fleet[0] and {each.name for each in asked[1:121]} == {each.name for each in fleet}
     assert asked[1].zone == "b", "our own zone first"
     for lost in "abc":  # 300 ms more than the settings say are four tries
-        assert all(any(each.zone != lost for each in asked[at:at + 2]) for at in range(1, 119))
+        assert all(any(each.zone != lost for each in asked[at : at + 2]) for at in range(1, 119))
     assert len({next(islice(release.order(f"q{n}", (), fleet, "b"), 1)).name for n in range(200)}) > 30
     assert list(release.order("q", (), (), "b")) == []
     assert release.pause(1) < release.pause(3) < release.pause(50) == release.TRY
@@ -56,6 +56,7 @@
         await within(letting)
         listener.close()
         await runtime.pool.close()
+
     asyncio.run(test())
 
 
@@ -66,6 +67,7 @@
         runtime.state.began = lambda id: True
         await within(runtime.release(LetGo("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
+
     asyncio.run(test())
 
 
@@ -86,8 +88,10 @@
         runtime.pool.connector.connect = late
         call = Call("POST", "/v1/chat/completions", {}, b"{}")
         runtime.exchanges["q"] = SimpleNamespace(
-            gone=False, call=lambda forward: call,
-            refuse=lambda pause: told.set(), fail=lambda clash: told.set(),
+            gone=False,
+            call=lambda forward: call,
+            refuse=lambda pause: told.set(),
+            fail=lambda clash: told.set(),
             read_head=lambda *_: SimpleNamespace(status=None, load={}),
             told=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
         )
@@ -117,11 +121,13 @@
             up.set()
             await asyncio.sleep(0.1)
             assert not writer.named("POST"), "neither a place nor anything else"
+
     asyncio.run(test())
 
 
 def test_a_place_is_not_asked_for_after_the_read_has_ended():
     """Nobody would take it, and it would be held until somebody found that out."""
+
     async def test():
         async with late_connections(never_read, "writer") as (runtime, reader, writer, up, _):
             await reader.wait_for("POST /v1/chat")
@@ -131,12 +137,14 @@
             up.set()
             await within(runtime.rest())
             assert not writer.named("POST") and not runtime.state.requests
+
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("address_of", ["reader", "writer"])
 def test_nothing_goes_for_a_client_that_left_and_whose_end_waits_to_be_seen(address_of):
     """A connection comes up, for a read or a place, as the client's end lies unread in the system."""
+
     async def test():
         async with late_connections(never_read, address_of) as (runtime, reader, writer, up, _):
             if address_of == "writer":
@@ -148,6 +156,7 @@
                 await asyncio.sleep(0.01)
             held_up = {"reader": reader, "writer": writer}[address_of]
             assert not held_up.named("POST") and not runtime.attempts
+
     asyncio.run(within(test(), 20))
 
 
@@ -163,6 +172,7 @@
                 forward = Forward("q", 1, endpoint, timedelta(seconds=4), reads=False, until=until)
                 assert runtime.sending(forward).may() is may
             assert not first.is_set() and not any(isinstance(each, Left) for each in ended)
+
     asyncio.run(within(test(), 20))
 
 
@@ -175,6 +185,7 @@
             up.set()
             (call,) = await reader.wait_for("POST /v1/chat")
             assert 0 < float(call[1]["x-left"]) <= 4 - waited.total_seconds()
+
     asyncio.run(within(test(), 20))
 
 
@@ -184,6 +195,7 @@
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             for patience, may in ((timedelta(), False), (timedelta(seconds=60), True)):
                 assert runtime.sending(Forward("q", 1, endpoint, patience, reads=False)).may() is may
+
     asyncio.run(within(test(), 20))
 
 
@@ -197,6 +209,7 @@
         with pytest.raises(Drained):
             await anext(pieces)
         assert not sent.is_set(), "it surely never ran"
+
     asyncio.run(test())
 
 
@@ -219,13 +232,17 @@
 
 def test_a_connection_that_comes_up_after_the_drain_was_told_carries_nothing(tmp_path):
     """The real program: the reader's machine takes the connection a second late, its drain is told before."""
-    patient = {"allowed": {**SETTINGS["allowed"], "connect_timeout": 8 * 10**9},
-               "lanes": [{**SETTINGS["lanes"][0], "target": 8 * 10**9, "hard_limit": 9 * 10**9}]}
+    patient = {
+        "allowed": {**SETTINGS["allowed"], "connect_timeout": 8 * 10**9},
+        "lanes": [{**SETTINGS["lanes"][0], "target": 8 * 10**9, "hard_limit": 9 * 10**9}],
+    }
 
     async def test():
         async with full_listener() as (listener, fillers), Server(let_go) as writer:
-            entries = [entry("r1", "{}:{}".format(*listener.getsockname()), "prefill"),
-                       entry("w1", writer.address, "decode")]
+            entries = [
+                entry("r1", "{}:{}".format(*listener.getsockname()), "prefill"),
+                entry("w1", writer.address, "decode"),
+            ]
             async with platform(tmp_path, entries, settings={**SETTINGS, **patient}) as program:
                 asked = asyncio.create_task(program.ask(chat(left=9000)))
                 await asyncio.sleep(0.2)
@@ -254,11 +271,13 @@
                 assert came[0] == b"", "it came up, and ended with nothing on it"
                 assert not any(b"chat" in each for each in came)
                 taking.cancel()
+
     asyncio.run(within(test(), 60))
 
 
 def test_what_a_read_left_is_let_go_of_where_the_reader_refuses_and_the_others_do_not(tmp_path):
     """The real program: the reader that holds the state is gone, and any other endpoint takes the release."""
+
     async def gone_after_reading(call, writer):
         if call[0].startswith("POST /v1/chat"):
             writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
@@ -281,14 +300,24 @@
                 while not (told := await program.line("endpoints"))["not_live"]:
                     pass
                 assert set(told["last_sent"]) == {"r1", "w1"}, "when something new last went to each"
+
     reader = None
     asyncio.run(within(test(), 60))
 
 
-@pytest.mark.parametrize("code, note", [
-    (errno.EADDRNOTAVAIL, KEPT), (errno.ENETUNREACH, KEPT), (errno.ENFILE, KEPT), (errno.ENOBUFS, KEPT),
-    (errno.EMFILE, KEPT), (errno.ECONNREFUSED, 0), (errno.EHOSTUNREACH, 0), (errno.ETIMEDOUT, 0),
-])
+@pytest.mark.parametrize(
+    "code, note",
+    [
+        (errno.EADDRNOTAVAIL, KEPT),
+        (errno.ENETUNREACH, KEPT),
+        (errno.ENFILE, KEPT),
+        (errno.ENOBUFS, KEPT),
+        (errno.EMFILE, KEPT),
+        (errno.ECONNREFUSED, 0),
+        (errno.EHOSTUNREACH, 0),
+        (errno.ETIMEDOUT, 0),
+    ],
+)
 def test_a_connection_that_fails_on_our_own_machine_tells_nothing_of_its_endpoint(code, note):
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
@@ -304,4 +333,5 @@
             ended = await runtime.play(forward, runtime.exchanges["q"])
             del runtime.pool.request
             assert (ended.status, ended.note) == (Status.CONNECT_FAILED, note)
+
     asyncio.run(within(test(), 20))
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -43,11 +43,13 @@
             assert told["conf_loaded"] == 1 and told["conf_invalid"] == 0
             assert told["transactions"]["fresh"]["answered"] == 1
             assert await program.stop() == 0
+
     run(test())
 
 
 def bad_files(told):
     """Give files that must be turned down whole, with the key that each error names."""
+
     def changed(change):
         new = copy.deepcopy(told)
         change(new)
@@ -62,12 +64,16 @@
     yield changed(lambda new: new["settings"].pop("lanes")), "settings.lanes: is missing"
     yield changed(lambda new: new["settings"]["lanes"][0].pop("hard_limit")), "lookup.hard_limit: is missing"
     for value in (0, -5, "4000000000", None, True):
+
         def deadline(new, value=value):
             new["settings"]["lanes"] = [{**lane, "hard_limit": value}]
+
         yield changed(deadline), "settings.lanes.lookup.hard_limit"
     for value in (0, -1, "3", 1.0e-9 - 1):
+
         def attempts(new, value=value):
             new["settings"]["allowed"]["attempts_cap"] = value
+
         yield changed(attempts), "settings.allowed.attempts_cap"
 
 
@@ -85,6 +91,7 @@
             assert first.startswith("HTTP/1.1 200"), "the settings in force stay"
             assert (await figures(address))["conf_loaded"] == 0
             assert await program.stop() == 0
+
     run(test())
 
 
@@ -92,7 +99,8 @@
     core = Core()
     core.ask("old", cls="once")
     retuned = replace(
-        CORE_SETTINGS, max_attempts=2,
+        CORE_SETTINGS,
+        max_attempts=2,
         classes=tuple(replace(each, effect=api.Effect.SAFE) for each in CORE_SETTINGS.classes),
     )
     core.do(ev.Reloaded(retuned))
@@ -116,4 +124,5 @@
             await program.line("retuned")
             first = (await asyncio.wait_for(reader.readline(), 5)).decode()
             assert first.split()[1] in ("502", "503"), "its own deadline ends it, as before"
+
     run(test())
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -48,6 +48,7 @@
             await reader.wait_for("DELETE /v1/holds/q")
             assert not runtime.state.requests and not reader.named("POST")
             await runtime.pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -64,12 +65,14 @@
             while not any(isinstance(each, Ended) for each in ended):
                 await asyncio.sleep(0)
             assert {(each.status, each.note) for each in ended if isinstance(each, Ended)} == {
-                (Status.CONNECT_FAILED, KEPT)}
+                (Status.CONNECT_FAILED, KEPT)
+            }
             assert fits(None) and not any(each.errors for each in runtime.state.router.servers.values())
             runtime.feed(Left("q"))
             await within(runtime.rest())
             assert not reader.named("POST") and not writer.named("POST")
             await runtime.pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -81,6 +84,7 @@
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
         answer = await Door(platform(told), broken, problem).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
+
     asyncio.run(within(test(), 60))
 
 
@@ -95,6 +99,7 @@
             assert 1 <= done.count(204) <= 27 and done.count(None) == 40 - done.count(204)
             assert await pool.call("DELETE", writer.address, "/v1/holds/a", second) == 204
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -110,6 +115,7 @@
             for each in taken:
                 each.close()
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -124,6 +130,7 @@
                 made.close()
             assert await pool.call("DELETE", reader.address, "/v1/holds/a", second) == 204
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -145,8 +152,11 @@
             call = Call("POST", "/v1/chat/completions", {}, b"{}")
             told = asyncio.Event()
             runtime.exchanges["q"] = SimpleNamespace(
-                gone=False, call=lambda forward: call, told=lambda left: {},
-                refuse=lambda pause: told.set(), fail=lambda clash: told.set()
+                gone=False,
+                call=lambda forward: call,
+                told=lambda left: {},
+                refuse=lambda pause: told.set(),
+                fail=lambda clash: told.set(),
             )
             runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
             await within(told.wait())
@@ -154,6 +164,7 @@
             assert pool.connector.drop_idle(writer.address) == 3
             await within(runtime.rest())
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -180,8 +191,11 @@
             assert pool.connector.keeping, "one alone may have been closed as idle"
             call, told = Call("POST", "/v1/chat/completions", {}, b"{}"), asyncio.Event()
             runtime.exchanges["q"] = SimpleNamespace(
-                gone=False, call=lambda forward: call, told=lambda left: {},
-                refuse=lambda pause: told.set(), fail=lambda clash: told.set()
+                gone=False,
+                call=lambda forward: call,
+                told=lambda left: {},
+                refuse=lambda pause: told.set(),
+                fail=lambda clash: told.set(),
             )
             runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             await within(told.wait())
@@ -190,6 +204,7 @@
             assert ends[0] == (Status.RESET, KEPT) and (Status.RESET, 0) in ends, "the next were new ones"
             assert not pool.connector.keeping
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
@@ -221,6 +236,7 @@
             await within(reader.closed.get())
             assert pool.connector.broken == kept
             await pool.close()
+
     asyncio.run(within(test(), 60))
 
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -15,8 +15,12 @@
 from hoplane.fronts.platform import read_asked
 from hoplane.net.server import advice
 
-HEADERS = {"X-Correlation-Id": "r1", "X-Service-Class": "c", "X-Time-Left-Ms": "900",
-           "X-Facts": "prompt_len=10,max_out=5"}
+HEADERS = {
+    "X-Correlation-Id": "r1",
+    "X-Service-Class": "c",
+    "X-Time-Left-Ms": "900",
+    "X-Facts": "prompt_len=10,max_out=5",
+}
 
 
 @pytest.mark.parametrize(("account", "tenant"), [("acme", "acme"), ("unknown", None), (None, None)])
@@ -26,13 +30,20 @@
 
 
 def conductor(retry_after=False):
-    classes = (api.ClassSettings("c", 10**9, 4 * 10**9, api.Effect.SAFE),
-               api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
-               *(api.ClassSettings(f"keyed-{group.value}", 10**9, 4 * 10**9, api.Effect.KEYED, group=group)
-                 for group in api.Group))
+    classes = (
+        api.ClassSettings("c", 10**9, 4 * 10**9, api.Effect.SAFE),
+        api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
+        *(
+            api.ClassSettings(f"keyed-{group.value}", 10**9, 4 * 10**9, api.Effect.KEYED, group=group)
+            for group in api.Group
+        ),
+    )
     settings = api.Settings(
-        kinds=tuple(api.KindSettings(role.value, role) for role in api.Role), classes=classes, cancel=True,
-        retry_after=retry_after, max_retry_after=10**9,
+        kinds=tuple(api.KindSettings(role.value, role) for role in api.Role),
+        classes=classes,
+        cancel=True,
+        retry_after=retry_after,
+        max_retry_after=10**9,
     )
     state = Conductor(settings, Router(settings, 1), Ledger(10, ev.timedelta(seconds=1)))
     endpoint = ev.Endpoint("e", "h:1", "z", "both", 0, api.State.LIVE)
@@ -57,10 +68,16 @@
     assert bool(advice(refused[0].pause)) is allowed
 
 
-@pytest.mark.parametrize(("cls", "answer"), [
-    ("c", ev.Refuse), ("once", ev.Fail),
-    ("keyed-all", ev.Refuse), ("keyed-zone", ev.Fail), ("keyed-cell", ev.Fail),
-])
+@pytest.mark.parametrize(
+    ("cls", "answer"),
+    [
+        ("c", ev.Refuse),
+        ("once", ev.Fail),
+        ("keyed-all", ev.Refuse),
+        ("keyed-zone", ev.Fail),
+        ("keyed-cell", ev.Fail),
+    ],
+)
 @pytest.mark.parametrize("kind", ["both", "read"])
 def test_a_request_that_has_not_begun_is_answered_before_the_process_is_killed(cls, answer, kind):
     """Where repeats do harm, once what is out has ended: a read has no effect, however it ends."""
@@ -135,5 +152,3 @@
                 outgoing.close()
 
     asyncio.run(test())
-
-
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -118,7 +118,8 @@
 
 
 OUTAGES = st.lists(
-    st.tuples(st.integers(0, 2), st.integers(500, 6000), st.integers(300, 4000)), max_size=5,
+    st.tuples(st.integers(0, 2), st.integers(500, 6000), st.integers(300, 4000)),
+    max_size=5,
 )
 RATES = st.lists(st.sampled_from([0.95, 1.0, 1.05]), min_size=2, max_size=3)
 
@@ -217,10 +218,15 @@
     assert purse.wanted(ms(600), 1, 0.0) == BUDGET.pool, "and back as the other goes"
 
 
-@pytest.mark.parametrize(("told", "text"), [
-    ({"bound": 0}, "bound: "), ({"most": 0}, "most: "), ({"reserve": 1.5}, "reserve: "),
-    ({"window": ms(0)}, "window_ms: "),
-])
+@pytest.mark.parametrize(
+    ("told", "text"),
+    [
+        ({"bound": 0}, "bound: "),
+        ({"most": 0}, "most: "),
+        ({"reserve": 1.5}, "reserve: "),
+        ({"window": ms(0)}, "window_ms: "),
+    ],
+)
 def test_budgets_that_bound_nothing_are_refused(told, text):
     with pytest.raises(ValueError, match=text):
         Budget(**{"bound": 1.0, "window": ms(1), "most": 1, **told})
@@ -316,6 +322,7 @@
             finally:
                 await one.engine.close()
                 await two.engine.close()
+
     asyncio.run(play())
 
 
@@ -331,6 +338,7 @@
             finally:
                 for sharing, _ in pair:
                     await sharing.engine.close()
+
     asyncio.run(play())
 
 
@@ -345,6 +353,7 @@
                 assert purse.held > 0
             finally:
                 await sharing.engine.close()
+
     asyncio.run(play())
 
 
@@ -361,4 +370,5 @@
                 assert purse.held == BUDGET.pool
             finally:
                 await sharing.engine.close()
+
     asyncio.run(play())
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -8,21 +8,39 @@
 
 SLOW = {"reply_ms": [150, 900], "request_ms": [0, 300]}
 FIXED = {
-    "a minority is cut off past its slices": Schedule("cut", 3, 8, (
-        Fault(1.5, 5, "link", 0, {"cut": True}),
-    )),
-    "the engine is slow at the edge of the terms": Schedule("slow", 3, 8, (
-        Fault(1.5, 5, "link", 0, SLOW),
-        Fault(2.0, 5, "link", 1, SLOW),
-        Fault(3, 2, "engine", 0, {"delay_ms": 240}),
-    )),
+    "a minority is cut off past its slices": Schedule(
+        "cut", 3, 8, (Fault(1.5, 5, "link", 0, {"cut": True}),)
+    ),
+    "the engine is slow at the edge of the terms": Schedule(
+        "slow",
+        3,
+        8,
+        (
+            Fault(1.5, 5, "link", 0, SLOW),
+            Fault(2.0, 5, "link", 1, SLOW),
+            Fault(3, 2, "engine", 0, {"delay_ms": 240}),
+        ),
+    ),
     "a conductor stands still past its slices": Schedule("stop", 3, 8, (Fault(1.5, 4, "stop", 0),)),
-    "half of the fleet is restarted": Schedule("kill", 4, 8, (
-        Fault(1.5, 0.3, "kill", 0), Fault(1.6, 2.5, "kill", 1),
-    )),
-    "a link that drops one way, and clocks off by the drift": Schedule("way", 3, 8, (
-        Fault(1.5, 5, "link", 0, {"drop_replies": 1.0}), Fault(2.5, 2, "link", 1, {"drop_requests": 1.0}),
-    ), (1 - fleet.DRIFT, 1 + fleet.DRIFT, 1.0)),
+    "half of the fleet is restarted": Schedule(
+        "kill",
+        4,
+        8,
+        (
+            Fault(1.5, 0.3, "kill", 0),
+            Fault(1.6, 2.5, "kill", 1),
+        ),
+    ),
+    "a link that drops one way, and clocks off by the drift": Schedule(
+        "way",
+        3,
+        8,
+        (
+            Fault(1.5, 5, "link", 0, {"drop_replies": 1.0}),
+            Fault(2.5, 2, "link", 1, {"drop_requests": 1.0}),
+        ),
+        (1 - fleet.DRIFT, 1 + fleet.DRIFT, 1.0),
+    ),
 }
 
 
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -22,19 +22,27 @@
     assert tool.main(["check", "deploy/kserve.toml"]) == 0
 
 
-@pytest.mark.parametrize(("file", "old", "new", "word"), [
-    ("hoplane.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
-    ("hoplane.toml", "memory_mb = 192", 'memory_mb = "much"', "limits.memory_mb: must be a whole number"),
-    ("hoplane.toml", "127.0.0.1:9000", "127.0.0.1", "listen: must be HOST:PORT"),
-    ("hoplane.toml", "target = 1000000000", "", "settings.lanes.default.target: is missing"),
-    ("hoplane.toml", "target = 1000000000", "target = 0", "lanes.default.target: must be a number above 0"),
-    ("hoplane.toml", 'clusters = "clusters.json"', "", "xds.clusters: is missing"),
-    ("hoplane.toml", "side_effect", "perhaps", "idempotency=perhaps"),
-    ("hoplane.toml", "[limits]", "[limits", "hoplane.toml: "),
-    ("clusters.json", '"name": "desk"', '"name": ""', "clusters.json: resources.0.name: is missing"),
-    ("endpoints.json", "HEALTHY", "FINE", "lb_endpoints.0.health_status"),
-    ("endpoints.json", "9001", "0", "socket_address"),
-])
+@pytest.mark.parametrize(
+    ("file", "old", "new", "word"),
+    [
+        ("hoplane.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
+        ("hoplane.toml", "memory_mb = 192", 'memory_mb = "much"', "limits.memory_mb: must be a whole number"),
+        ("hoplane.toml", "127.0.0.1:9000", "127.0.0.1", "listen: must be HOST:PORT"),
+        ("hoplane.toml", "target = 1000000000", "", "settings.lanes.default.target: is missing"),
+        (
+            "hoplane.toml",
+            "target = 1000000000",
+            "target = 0",
+            "lanes.default.target: must be a number above 0",
+        ),
+        ("hoplane.toml", 'clusters = "clusters.json"', "", "xds.clusters: is missing"),
+        ("hoplane.toml", "side_effect", "perhaps", "idempotency=perhaps"),
+        ("hoplane.toml", "[limits]", "[limits", "hoplane.toml: "),
+        ("clusters.json", '"name": "desk"', '"name": ""', "clusters.json: resources.0.name: is missing"),
+        ("endpoints.json", "HEALTHY", "FINE", "lb_endpoints.0.health_status"),
+        ("endpoints.json", "9001", "0", "socket_address"),
+    ],
+)
 def test_check_names_the_faulty_key(app, capsys, file, old, new, word):
     path = app / file
     assert old in path.read_text()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,8 +20,11 @@
 def test_two_processes_serve_from_the_inherited_socket_on_the_same_address(tmp_path):
     async def test():
         held, address = held_socket()
-        told = {"address": address, "environ": {"EDGE_SOCKET_FD": str(held.fileno())},
-                "pass_fds": (held.fileno(),)}
+        told = {
+            "address": address,
+            "environ": {"EDGE_SOCKET_FD": str(held.fileno())},
+            "pass_fds": (held.fileno(),),
+        }
         with held:
             (tmp_path / "old").mkdir()
             (tmp_path / "new").mkdir()
@@ -33,6 +36,7 @@
                 first, _, body = await new.ask(chat(id="after"))
                 assert first.startswith("HTTP/1.1 200")
                 assert await new.stop() == 0
+
     run(test())
 
 
@@ -48,6 +52,7 @@
             raise AssertionError("a bad descriptor was taken")
         assert config.descriptor("3") == 3 and config.descriptor(None) is None
         await asyncio.sleep(0)
+
     run(test())
 
 
@@ -56,8 +61,11 @@
         held, address = held_socket()
         shared = tmp_path / "shared"
         shared.mkdir()
-        told = {"address": address, "pass_fds": (held.fileno(),),
-                "environ": {"EDGE_SOCKET_FD": str(held.fileno()), "TMPDIR": str(shared)}}
+        told = {
+            "address": address,
+            "pass_fds": (held.fileno(),),
+            "environ": {"EDGE_SOCKET_FD": str(held.fileno()), "TMPDIR": str(shared)},
+        }
         release = asyncio.Event()
 
         async def slow(call, writer):
@@ -98,6 +106,7 @@
                     assert await old.stop() == 0
                     assert await new.stop() == 0
                 assert not list(shared.glob("hoplane-process-*")), "each process takes its file away"
+
     run(test())
 
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -44,8 +44,13 @@
 @given(STEP)
 def test_a_hand_over_goes_by_the_machine_s_monotonic_clock(step):
     """The old process told of itself before a step of the wall clock, the new one after it."""
-    told = {"pid": 1, "open": 2, "born": (EPOCH + step).total_seconds(),
-            "monotonic_born": 100.0, "monotonic_told": 200.0}
+    told = {
+        "pid": 1,
+        "open": 2,
+        "born": (EPOCH + step).total_seconds(),
+        "monotonic_born": 100.0,
+        "monotonic_told": 200.0,
+    }
     peer = read_peer(told, told_wall=EPOCH + 2 * step, wall=EPOCH, monotonic=timedelta(seconds=200.1))
     assert peer == Peer(1, timedelta(seconds=100), 2, timedelta(seconds=200))
     verdict = judge(2, timedelta(seconds=199), [peer], timedelta(seconds=200.1))
