--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -137,12 +137,12 @@
     "peers": ("allowed.may_tell", flag),
     "retry_after": ("allowed.retry_after", flag),
     "max_retry_after": ("allowed.max_retry_after", ticks),
-    "ahead": ("family_info.ahead", flag),
+    "reserve_ahead": ("family_info.ahead", flag),
     "resume": ("family_info.resume", flag),
     "writers_read": ("family_info.local_read", flag),
     "release_within": ("family_info.release_within", ticks),
     "far_price": ("family_info.transfer_price", number),
-    "must_ask": ("discovery", lambda fields, key: choice(fields, key, {"ask": True, "push": False})),
+    "must_subscribe": ("discovery", lambda fields, key: choice(fields, key, {"ask": True, "push": False})),
     "probe_price": ("prices.probe", number),
     "answer_slack": ("rules.answer_slack", ticks),
     "drain_grace": ("rules.drain_grace", ticks),
@@ -203,7 +203,7 @@
     return range(whole(fields, name)) if name in fields else range(0)
 
 
-REPORTS = {"waiting_told": "thousands_of_prompt_tokens", "held_told": "share_of_memory"}
+REPORTS = {"waiting_tokens_field": "thousands_of_prompt_tokens", "held_memory_field": "share_of_memory"}
 
 
 def read_reports(fields: Fields) -> dict[str, str]:
@@ -237,15 +237,15 @@
 }
 
 
-def read_entry(fields: Fields) -> api.Entry:
+def read_entry(fields: Fields) -> api.ServerEntry:
     """Translate a line of a server list."""
-    return api.Entry(
+    return api.ServerEntry(
         server=whole(fields, "engine"),
         kind=text(fields, "kind"),
         zone=text(fields, "dc"),
         cell=whole(fields, "unit_group"),
         state=choice(fields, "condition", STATES),
-        **given(fields, {"weight": ("weight", number), "born": ("born", ticks)}),
+        **given(fields, {"weight": ("weight", number), "started_at": ("born", ticks)}),
     )
 
 
@@ -280,21 +280,21 @@
 def read_outcome(fields: Fields) -> api.Outcome:
     """Translate the end of an attempt."""
     status = choice(fields, "ending", STATUSES)
-    extra = given(fields, {"closed": ("closed", flag), "note": ("info", whole)})
+    extra = given(fields, {"closed": ("closed", flag), "detail": ("info", whole)})
     return api.Outcome(
         *attempt_fields(fields), status, ticks(fields, "wait_time"), load=read_gauge(fields), **extra
     )
 
 
-def read_place(fields: Fields) -> api.Place:
+def read_place(fields: Fields) -> api.ReservationResult:
     """Translate the answer to a hold."""
-    return api.Place(*attempt_fields(fields), bool(choice(fields, "topic", PLACES)))
+    return api.ReservationResult(*attempt_fields(fields), bool(choice(fields, "topic", PLACES)))
 
 
-def read_probed(fields: Fields) -> api.Probed:
+def read_probed(fields: Fields) -> api.ProbeResult:
     """Translate the result of a probe."""
     status = choice(fields, "ending", STATUSES)
-    return api.Probed(whole(fields, "engine"), status, ticks(fields, "wait_time"), read_gauge(fields))
+    return api.ProbeResult(whole(fields, "engine"), status, ticks(fields, "wait_time"), read_gauge(fields))
 
 
 def read_peer(fields: Fields) -> api.PeerMessage:
@@ -313,8 +313,8 @@
     "headers": read_first,
     "report_back": read_outcome,
     "hold_result": read_place,
-    "timed_out_client": lambda fields: api.Gone(text(fields, "req")),
-    "bell": lambda fields: api.Timer(whole(fields, "handle")),
+    "timed_out_client": lambda fields: api.ClientDisconnected(text(fields, "req")),
+    "bell": lambda fields: api.TimerFired(whole(fields, "handle")),
     "probed": read_probed,
     "note_from": read_peer,
 }
@@ -323,24 +323,24 @@
 # --- actions
 
 
-def write_tell(action: api.Tell) -> str:
+def write_tell(action: api.SendPeerMessage) -> str:
     """Write a message to other routers."""
     data = base64.b64encode(action.data).decode() or "-"
     return f"dest={-1 if action.to is None else action.to} msg={data}"
 
 
 ACTIONS: dict[type, tuple[str, Callable[..., str]]] = {
-    api.Send: ("pass_on", lambda a: f"req={a.request} within={a.timeout} engine={a.server}"),
-    api.Hold: ("hold_place", lambda a: f"req={a.request} engine={a.server}"),
-    api.Release: ("unpin", lambda a: f"req={a.request}"),
-    api.Cancel: ("undo_send", lambda a: f"req={a.request} attempt={a.attempt}"),
-    api.Refuse: ("shed", lambda a: f"req={a.request} pause={a.pause}"),
-    api.Fail: ("drop_request", lambda a: f"req={a.request}"),
-    api.Move: ("reassign", lambda a: f"req={a.request}"),
+    api.Send: ("pass_on", lambda a: f"req={a.request_id} within={a.timeout} engine={a.server}"),
+    api.Reserve: ("hold_place", lambda a: f"req={a.request_id} engine={a.server}"),
+    api.Release: ("unpin", lambda a: f"req={a.request_id}"),
+    api.Cancel: ("undo_send", lambda a: f"req={a.request_id} attempt={a.attempt}"),
+    api.Refuse: ("shed", lambda a: f"req={a.request_id} pause={a.retry_after}"),
+    api.Fail: ("drop_request", lambda a: f"req={a.request_id}"),
+    api.EndStream: ("reassign", lambda a: f"req={a.request_id}"),
     api.SetTimer: ("wake_me", lambda a: f"fire_at={a.at} handle={a.timer}"),
     api.Probe: ("ping", lambda a: f"engine={a.server}"),
-    api.Tell: ("broadcast_to", write_tell),
-    api.Watch: ("observe", lambda a: "want=1"),
+    api.SendPeerMessage: ("broadcast_to", write_tell),
+    api.SubscribeServerList: ("observe", lambda a: "want=1"),
     api.Log: ("remark", lambda a: f"line={' '.join(a.text.split())}"),
 }
 
@@ -359,7 +359,7 @@
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
-        self.lists: dict[int, tuple[api.Entry, ...]] = {}
+        self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.now = 0
 
     def play(self, words: list[str], lines: Iterator[str]) -> Iterator[str]:
@@ -385,22 +385,22 @@
         for action in self.routers[instance].handle(self.now, event):
             yield write_action(instance, action)
 
-    def next_entry(self, line: str) -> api.Entry:
+    def next_entry(self, line: str) -> api.ServerEntry:
         """Translate a line that must be a list's entry."""
         words = line.split()
         if not words or words[0] != "entry":
             raise WireError("an entry of the list is missing")
         return read_entry(split_fields(words[1:]))
 
-    def read_fleet(self, fields: Fields) -> api.Fleet:
+    def read_fleet(self, fields: Fields) -> api.ServerListUpdate:
         """Translate a server list event."""
         if text(fields, "kind") == "Error":
-            return api.Fleet(None, whole=False)
+            return api.ServerListUpdate(None, whole=False)
         is_whole = bool(choice(fields, "kind", FLEETS))
         slot = whole(fields, "slot")
         if slot not in self.lists:
             raise WireError(f"slot={slot} has not been declared")
-        return api.Fleet(self.lists[slot], is_whole)
+        return api.ServerListUpdate(self.lists[slot], is_whole)
 
     def run(self, lines: Iterator[str], out: TextIO) -> None:
         """Answer batches until the input ends."""
--- a/hoplane/core/pacing.py
+++ b/hoplane/core/pacing.py
@@ -35,7 +35,7 @@
     `told`: the settings, for the kind of discovery, the number of conductors and the grace of a drain."""
 
     def __init__(self, told: Settings, rng: random.Random) -> None:
-        self.rng, self.asked = rng, told.must_ask
+        self.rng, self.asked = rng, told.must_subscribe
         self.routers, self.position = told.routers, told.position % told.routers
         self.failures = 0  # in a row
         grace = to_span(told.drain_grace) or GRACE
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -234,7 +234,7 @@
     told = not request.closed
     request.closed = True
     if told:
-        yield from decide(state, now, api.Gone(request.asked.id))
+        yield from decide(state, now, api.ClientDisconnected(request.asked.id))
     for index in range(len(request.attempts)):
         yield from abandon(request, index, Status.CANCELLED)
     yield from sweep_up(state, now, request.asked.id)
@@ -312,7 +312,9 @@
     if event.held is not False and attempt.over and not request.began:
         yield from note_left(state, now, request)
     if event.held is not None and not attempt.over:
-        yield from decide(state, now, api.Place(event.id, event.attempt, attempt.server, event.held))
+        yield from decide(
+            state, now, api.ReservationResult(event.id, event.attempt, attempt.server, event.held)
+        )
     elif request.closed and not request.began and event.held is not False:
         yield let_go(state, request)
     yield from sweep_up(state, now, event.id)
@@ -321,13 +323,15 @@
 def on_probed(state: Conductor, now: timedelta, event: ev.Probed) -> Iterator[ev.Effect]:
     """Tell the module whether an endpoint has shown a sign of life."""
     if event.server in state.fleet:
-        yield from decide(state, now, api.Probed(event.server, event.status, to_ns(event.took), event.load))
+        yield from decide(
+            state, now, api.ProbeResult(event.server, event.status, to_ns(event.took), event.load)
+        )
 
 
 def on_due(state: Conductor, now: timedelta, event: ev.Due) -> Iterator[ev.Effect]:
     """Fire the module's timer, or one of ours: an attempt's time-out or the client's deadline."""
     if isinstance(event.timer, int):
-        yield from decide(state, now, api.Timer(event.timer))
+        yield from decide(state, now, api.TimerFired(event.timer))
         return
     if isinstance(event.timer, Held):
         if (request := state.requests.get(event.timer.id)) and request.left == event.timer.left:
@@ -370,12 +374,12 @@
     # Guards against a table that grows with each endpoint that ever was; a name's number is the same again.
     state.numbers = {each.name: number for number, each in state.fleet.items()}
     entries = tuple(
-        api.Entry(number, each.kind, each.zone, each.cell, each.state, each.weight, to_ns(each.started))
+        api.ServerEntry(number, each.kind, each.zone, each.cell, each.state, each.weight, to_ns(each.started))
         for number, each in known.items()
     )
     states = {each.name: each.state.value for each in known.values() if each.state is not api.State.LIVE}
     yield ev.Say("endpoints", {"whole": event.whole, "known": len(state.fleet), "not_live": states})
-    yield from decide(state, now, api.Fleet(entries, event.whole))
+    yield from decide(state, now, api.ServerListUpdate(entries, event.whole))
 
 
 def on_reloaded(state: Conductor, now: timedelta, event: ev.Reloaded) -> Iterator[ev.Effect]:
@@ -432,7 +436,7 @@
 
 def send(state: Conductor, now: timedelta, action: api.Send):
     """Open an attempt; gives the outcome at once where it cannot be opened."""
-    request, endpoint = state.requests.get(action.request), state.fleet.get(action.server)
+    request, endpoint = state.requests.get(action.request_id), state.fleet.get(action.server)
     if request is None:
         return []
     index, cap = len(request.attempts), request.cap
@@ -454,10 +458,10 @@
         patience = request.deadline - now
         if action.timeout and (own := to_span(action.timeout)) < patience:
             patience = own
-            yield ev.Wake(now + own, (action.request, index, request.taken))
+            yield ev.Wake(now + own, (action.request_id, index, request.taken))
         reads = role is api.Role.READ
         yield ev.Forward(
-            action.request,
+            action.request_id,
             index,
             endpoint,
             patience,
@@ -467,16 +471,16 @@
         )
         return []
     request.attempts[index].over = True
-    return [api.Outcome(action.request, index, action.server, status, 0, request.closed)]
+    return [api.Outcome(action.request_id, index, action.server, status, 0, request.closed)]
 
 
-def hold(state: Conductor, now: timedelta, action: api.Hold) -> Iterator[ev.Effect]:
+def hold(state: Conductor, now: timedelta, action: api.Reserve) -> Iterator[ev.Effect]:
     """Ask for a place during the read that is out."""
-    request, endpoint = state.requests.get(action.request), state.fleet.get(action.server)
+    request, endpoint = state.requests.get(action.request_id), state.fleet.get(action.server)
     if request is None or endpoint is None or not request.attempts or request.attempts[-1].over:
         return
     request.holds += 1
-    yield ev.AskHold(action.request, len(request.attempts) - 1, endpoint)
+    yield ev.AskHold(action.request_id, len(request.attempts) - 1, endpoint)
 
 
 def probe(state: Conductor, now: timedelta, action: api.Probe) -> Iterator[ev.Effect]:
@@ -487,38 +491,40 @@
 
 def release(state: Conductor, now: timedelta, action: api.Release) -> Iterator[ev.Effect]:
     """Let go of what is held. A stream that has begun has let go of all by itself."""
-    request = state.requests.get(action.request)
+    request = state.requests.get(action.request_id)
     if request is not None and not request.began:
         yield let_go(state, request)
 
 
 def cancel(state: Conductor, now: timedelta, action: api.Cancel) -> Iterator[ev.Effect]:
     """Give an attempt up, unless its stream has begun."""
-    request = state.requests.get(action.request)
+    request = state.requests.get(action.request_id)
     if request is not None and not request.attempts[action.attempt].began:
         yield from abandon(request, action.attempt, Status.CANCELLED)
 
 
 def refuse(state: Conductor, now: timedelta, action: api.Refuse) -> Iterator[ev.Effect]:
     """Give the final answer: refused."""
-    request = state.requests.get(action.request)
+    request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
         state.figures.count(request.asked.cls, "deferred")
-        yield ev.Refuse(action.request, told_pause(state, to_span(action.pause)), "given up by the module")
+        yield ev.Refuse(
+            action.request_id, told_pause(state, to_span(action.retry_after)), "given up by the module"
+        )
 
 
 def fail(state: Conductor, now: timedelta, action: api.Fail) -> Iterator[ev.Effect]:
     """Give the final answer: failed."""
-    request = state.requests.get(action.request)
+    request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
         state.figures.count(request.asked.cls, "errored")
-        yield ev.Fail(action.request, "it may have run and may not run again, or its time is over")
+        yield ev.Fail(action.request_id, "it may have run and may not run again, or its time is over")
 
 
 ACTIONS: dict[type, Callable[..., Iterable[ev.Effect]]] = {
-    api.Hold: hold,
+    api.Reserve: hold,
     api.Probe: probe,
     api.Release: release,
     api.Cancel: cancel,
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -115,12 +115,12 @@
     second_copies: bool = False
     probes: bool = False
     peers: bool = False
-    ahead: bool = False
+    reserve_ahead: bool = False
     resume: bool = False
     writers_read: bool = False
     retry_after: bool = False
     max_retry_after: int | None = None
-    must_ask: bool = False  # the server list comes only to routers that subscribe
+    must_subscribe: bool = False  # the server list comes only to routers that subscribe
     far_price: float = 0.0
     probe_price: float = 0.0
     answer_slack: int = 0
@@ -130,8 +130,8 @@
     cold_share: float = 1.0
     fall_multiple: float | None = None
     fall: int = 0
-    waiting_told: str | None = None  # what load reports call the thousands of prompt tokens that wait
-    held_told: str | None = None  # and the share of its memory that a server holds
+    waiting_tokens_field: str | None = None  # what load reports call the thousands of prompt tokens that wait
+    held_memory_field: str | None = None  # and the share of its memory that a server holds
 
     def __post_init__(self) -> None:
         """Refuse settings that cannot be."""
@@ -159,7 +159,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Entry:
+class ServerEntry:
     """A line of the server list."""
 
     server: int
@@ -168,14 +168,14 @@
     cell: int
     state: State
     weight: float = 1.0
-    born: int = 0
+    started_at: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Fleet:
+class ServerListUpdate:
     """The server list, whole or what changed of it; `entries` is None where asking for it failed."""
 
-    entries: tuple[Entry, ...] | None
+    entries: tuple[ServerEntry, ...] | None
     whole: bool
 
 
@@ -183,11 +183,11 @@
 class Request:
     """A client's request; one final answer is owed from here on."""
 
-    request: str
+    request_id: str
     cls: str
-    prompt: int
-    max_out: int
-    patience: int
+    prompt_tokens: int
+    max_output_tokens: int
+    time_left: int
     session: str | None = None
     prefix: str | None = None
     prefix_len: int = 0
@@ -201,58 +201,59 @@
 class FirstToken:
     """The answer's stream has begun."""
 
-    request: str
+    request_id: str
     attempt: int
     server: int
     elapsed: int
 
 
-KEPT = 1
+SERVER_NOT_AT_FAULT = 1
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How an attempt ended. `note`: with OK and MISS tokens found kept, with FULL 1 for no state to fetch.
+    """How an attempt ended.
 
-    With RESET or CONNECT_FAILED, KEPT tells of a connection from before that was perhaps closed as idle,
-    or of a send that was held back by us: neither tells of the server."""
+    `detail` depends on the status. OK, MISS: the number of cached tokens that the server found. FULL: 1 if the
+    server had no read state to fetch. RESET, CONNECT_FAILED: SERVER_NOT_AT_FAULT if a kept-alive connection may
+    have been closed as idle, or the send was held back on our side; neither says anything about the server."""
 
-    request: str
+    request_id: str
     attempt: int
     server: int
     status: Status
     elapsed: int
     closed: bool = False
-    note: int = 0
+    detail: int = 0
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
-    """Whether a place was held, asked for with Hold."""
+class ReservationResult:
+    """Whether a place was held, asked for with Reserve."""
 
-    request: str
+    request_id: str
     attempt: int
     server: int
-    held: bool
+    reserved: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class ClientDisconnected:
     """The client has left; nothing is owed any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Timer:
+class TimerFired:
     """A timer set with SetTimer is due."""
 
     timer: int
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
+class ProbeResult:
     """What came of a Probe."""
 
     server: int
@@ -269,7 +270,17 @@
     data: bytes
 
 
-Event = Fleet | Request | FirstToken | Outcome | Place | Gone | Timer | Probed | PeerMessage
+Event = (
+    ServerListUpdate
+    | Request
+    | FirstToken
+    | Outcome
+    | ReservationResult
+    | ClientDisconnected
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+)
 
 
 # --- actions
@@ -279,16 +290,16 @@
 class Send:
     """Send the request to a server; attempts count from 0. `timeout` 0: until the client gives up."""
 
-    request: str
+    request_id: str
     server: int
     timeout: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Hold:
+class Reserve:
     """Hold a place ahead at a writer."""
 
-    request: str
+    request_id: str
     server: int
 
 
@@ -296,42 +307,42 @@
 class Release:
     """Let go of every state and place that no attempt waits for."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
     """End the wait for one attempt."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless. `pause` 0: no advice on when."""
+    """Final answer: refused, trying again is harmless. `retry_after` 0: no advice on when."""
 
-    request: str
-    pause: int = 0
+    request_id: str
+    retry_after: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
     """Final answer: failed, nothing is promised."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class EndStream:
     """End a running stream in good order; its client comes back."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a Timer event."""
+    """Ask for a TimerFired event."""
 
     at: int
     timer: int
@@ -345,7 +356,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class SendPeerMessage:
     """Send a message to one router, or to all the others where `to` is None."""
 
     to: int | None
@@ -353,7 +364,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class SubscribeServerList:
     """Subscribe to the server list."""
 
 
@@ -364,4 +375,17 @@
     text: str
 
 
-Action = Send | Hold | Release | Cancel | Refuse | Fail | Move | SetTimer | Probe | Tell | Watch | Log
+Action = (
+    Send
+    | Reserve
+    | Release
+    | Cancel
+    | Refuse
+    | Fail
+    | EndStream
+    | SetTimer
+    | Probe
+    | SendPeerMessage
+    | SubscribeServerList
+    | Log
+)
--- a/hoplane/decision/kept.py
+++ b/hoplane/decision/kept.py
@@ -42,7 +42,7 @@
         """Give the tokens that are left of a prompt by what we know."""
         ours, here, _, _ = known
         kept = job.request.prefix_len if here else 0
-        return max(0, job.request.prompt - max(kept, job.row.read if ours else 0))
+        return max(0, job.request.prompt_tokens - max(kept, job.row.read if ours else 0))
 
     def unread(self, job: Job, server: Server) -> int:
         """Guess the tokens that the server has yet to read."""
--- a/hoplane/decision/probes.py
+++ b/hoplane/decision/probes.py
@@ -22,12 +22,12 @@
 
     def heeds(self, server: Server) -> bool:
         """Note a probe that timed out; tell whether it is to be heeded."""
-        server.missed = server.entry.born
+        server.missed = server.entry.started_at
         return self.beside >= FEW * self.false
 
     def shows(self, server: Server) -> None:
         """Note a sign of life."""
-        self.false += server.missed == server.entry.born
+        self.false += server.missed == server.entry.started_at
         server.missed = None
 
     def answered(self, server: Server) -> None:
--- a/hoplane/decision/rules.py
+++ b/hoplane/decision/rules.py
@@ -90,15 +90,15 @@
         self.timers = Timers()
         self.sweeping = self.watching = False
         self.handlers: dict[type, Callable[..., Job | None]] = {
-            api.Fleet: self.on_fleet,
+            api.ServerListUpdate: self.on_fleet,
             api.Request: self.on_request,
             api.FirstToken: self.on_first,
-            api.Place: self.on_place,
+            api.ReservationResult: self.on_place,
             api.Outcome: self.on_outcome,
-            api.Gone: self.on_gone,
+            api.ClientDisconnected: self.on_gone,
             api.PeerMessage: self.on_peer,
-            api.Probed: self.on_probed,
-            api.Timer: lambda event: self.timers.fire(event.timer),
+            api.ProbeResult: self.on_probed,
+            api.TimerFired: lambda event: self.timers.fire(event.timer),
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
@@ -108,7 +108,7 @@
             self.settle(handler(event))
         return self.actions
 
-    def on_fleet(self, event: api.Fleet) -> None:
+    def on_fleet(self, event: api.ServerListUpdate) -> None:
         """Bring the list level. A whole list also removes what it leaves out."""
         self.watch()
         if event.entries is None:
@@ -125,25 +125,25 @@
         self.ring = Ring((s, round(POINTS * min(1.0, own[s.role](s.entry.cell)))) for s in self.live(READERS))
 
     def watch(self) -> None:
-        if self.settings.must_ask and not self.watching:
+        if self.settings.must_subscribe and not self.watching:
             self.watching = True
-            self.actions.append(api.Watch())
+            self.actions.append(api.SubscribeServerList())
 
     def on_request(self, event: api.Request) -> Job | None:
         """Take a request; a timer backs its deadline, a tick early so that the answer is in time."""
         cls = self.classes.get(event.cls)
-        if cls is None or event.request in self.jobs:
+        if cls is None or event.request_id in self.jobs:
             return None
         row = self.rows.get(event.session or event.prefix or "")
-        job = Job(event, cls, self.now, self.now + event.patience, row, self.settings.max_attempts)
-        self.jobs[event.request] = job
-        self.prompts.add(event.prompt, BLEND)
+        job = Job(event, cls, self.now, self.now + event.time_left, row, self.settings.max_attempts)
+        self.jobs[event.request_id] = job
+        self.prompts.add(event.prompt_tokens, BLEND)
         self.turns.came.add(self.now, not event.retry)
         self.asked.setdefault(event.tenant or "", Rate(RATE_SPAN)).add(self.now, not event.retry)
         for prefix in dict.fromkeys(("", event.prefix or "")):
             self.drawn[prefix] = self.drawn.pop(prefix, Rate(IDLE))
             self.drawn[prefix].add(self.now)
-        span = max(0, event.patience - self.settings.tick)
+        span = max(0, event.time_left - self.settings.tick)
         self.after(span, lambda: job if job.settled else self.finish(job))
         if not self.sweeping:
             self.sweeping = True
@@ -161,13 +161,13 @@
         self.stage[False].add(self.now - attempt.sent, BLEND)
         self.cell(job)[0].add(self.now - job.arrived, BLEND)
 
-    def on_place(self, event: api.Place) -> None:
+    def on_place(self, event: api.ReservationResult) -> None:
         """Note a place that is held; where it is not, the next writer is asked."""
         attempt = self.servers.attempt(event)
         if attempt is None or not (job := attempt.job).asked:
             return
-        self.places.add(self.now, event.held)
-        if event.held and not job.ended:
+        self.places.add(self.now, event.reserved)
+        if event.reserved and not job.ended:
             job.place = job.place or job.asked[-1]
         elif not (job.place or job.ended):
             self.hold(job)
@@ -176,11 +176,13 @@
         """Ask for a place at the writer of our choice during the read, so that its state flows early.
 
         Guards against writers that others filled unseen. May harm where long reads leave places empty."""
-        for server in self.writers(job)[:HOLDS] if self.settings.ahead and len(job.asked) < HOLDS else []:
+        for server in (
+            self.writers(job)[:HOLDS] if self.settings.reserve_ahead and len(job.asked) < HOLDS else []
+        ):
             if server not in job.asked and self.cold_room(server):
                 server.credit = 0.0
                 job.asked.append(server)
-                self.actions.append(api.Hold(job.request.request, server.entry.server))
+                self.actions.append(api.Reserve(job.request.request_id, server.entry.server))
                 return
 
     def on_outcome(self, event: api.Outcome) -> Job | None:
@@ -200,22 +202,22 @@
         elif status in (Status.CANCELLED, Status.TIMEOUT) and attempt.reads and not attempt.passed:
             # It waited longer still.
             self.waited(server, event.elapsed, attempt.unread)
-        elif status is Status.FULL and event.note != 1:
+        elif status is Status.FULL and event.detail != 1:
             self.note(Symptom.FULL, server, job.pair)
         if status is Status.MISS:
             self.learn_read(attempt, event)
         elif status is Status.OK and job.first_at is not None:
             self.learn_answer(job, server, event)
-        elif status is Status.FULL and event.note == 1:
+        elif status is Status.FULL and event.detail == 1:
             job.state_at = None
         job.local = None
         if status is not Status.MISS and job.asked:
             self.release(job)
         return job
 
-    def heed(self, event: api.Outcome | api.Probed) -> None:
+    def heed(self, event: api.Outcome | api.ProbeResult) -> None:
         """Note the memory that a server reports as held: our own part of it tells too little."""
-        held = event.load.get(self.settings.held_told)
+        held = event.load.get(self.settings.held_memory_field)
         if held is not None and (server := self.servers.get(event.server)):
             server.told_at, server.told_held = self.now, held
             self.held[server.role].add(server.told_held, BLEND)
@@ -225,7 +227,7 @@
 
         Guards against one that fails at once, and so seems least busy, and against giving up well servers for
         a lone reset. A connection kept from before tells nothing: it may have been closed as idle."""
-        if event.status is not Status.ERROR and event.note == api.KEPT:
+        if event.status is not Status.ERROR and event.detail == api.SERVER_NOT_AT_FAULT:
             return
         server.errors += 1
         refused = event.status is Status.CONNECT_FAILED and event.elapsed <= BRIEF
@@ -238,11 +240,11 @@
 
         One that kept little of what it had read has lost the rest too: what waits there is read whole."""
         job, server = attempt.job, attempt.server
-        if 2 * event.note < job.request.prompt - self.kept.raw(job, server):
+        if 2 * event.detail < job.request.prompt_tokens - self.kept.raw(job, server):
             server.forget(self.now)
         job.state_at, job.state_since, job.reader = server, self.now, server
         self.stage[True].add(event.elapsed, BLEND)
-        unread = max(0, job.request.prompt - event.note)
+        unread = max(0, job.request.prompt_tokens - event.detail)
         self.kept.learn(job, server, unread, self.now)
         if unread >= TELLING or self.speed:
             self.speed = max(unread * SECOND / max(1, event.elapsed), self.speed * FORGET)
@@ -259,11 +261,11 @@
         key = job.request.session or job.request.prefix or ""
         self.rows.pop(key, None)
         self.rows[key] = job.next_row(server, self.now)
-        if job.local is not None and 2 * event.note < job.request.prefix_len:
+        if job.local is not None and 2 * event.detail < job.request.prefix_len:
             server.kept_since = job.arrived
 
-    def on_gone(self, event: api.Gone) -> Job | None:
-        if job := self.jobs.get(event.request):
+    def on_gone(self, event: api.ClientDisconnected) -> Job | None:
+        if job := self.jobs.get(event.request_id):
             job.ended = True
             self.cancel(job.out)
         return job
@@ -294,7 +296,7 @@
             self.strike(server, sure=True)
         if self.settings.peers and not told and pair in self.pairs:
             word = Word(symptom, server.entry.server, self.pairs.index(pair))
-            self.actions.append(api.Tell(None, word.pack()))
+            self.actions.append(api.SendPeerMessage(None, word.pack()))
 
     def on_peer(self, event: api.PeerMessage) -> None:
         word = Word.read(event.data)
@@ -353,7 +355,7 @@
             server.probed = self.now
             self.actions.append(api.Probe(server.entry.server))
 
-    def on_probed(self, event: api.Probed) -> None:
+    def on_probed(self, event: api.ProbeResult) -> None:
         """Leave a server that shows no sign of life at once; one that does may be jammed, and is given time.
 
         Guards against a jam that looks like a cut-off machine, and against requests that wait at one. Where
@@ -371,7 +373,9 @@
         elif event.status not in (Status.RESET, Status.TIMEOUT):
             self.trust.answered(server)
             server.answered = self.now
-            waiting, held = map(event.load.get, (self.settings.waiting_told, self.settings.held_told))
+            waiting, held = map(
+                event.load.get, (self.settings.waiting_tokens_field, self.settings.held_memory_field)
+            )
             idle = waiting is not None and waiting < IDLE_WAITING and (held or 0) < IDLE_HELD
             server.idle_at = self.now - STALE if idle else 0
 
@@ -386,7 +390,7 @@
             least = SILENT_MIN[True]
             ahead = [a for a in server.out.values() if a.reads and a.sent <= attempt.sent]
         least *= min(cls.aim for cls in self.settings.classes)
-        tokens = sum(a.job.request.prompt if attempt.passed else a.unread for a in ahead)
+        tokens = sum(a.job.request.prompt_tokens if attempt.passed else a.unread for a in ahead)
         return max(SILENT * (self.stage[attempt.reads].value or 0), least) + self.reading_time(tokens)
 
     def usable(self, roles: tuple[Role, ...], pair: tuple[str | None, str] = (None, "")) -> list[Server]:
@@ -397,13 +401,13 @@
 
     def settle(self, job: Job | None) -> None:
         """See to it that a request with no attempt out has sent, waits within its limits, or has ended."""
-        if job is None or job.out or self.jobs.get(job.request.request) is not job:
+        if job is None or job.out or self.jobs.get(job.request.request_id) is not job:
             return
         if not job.ended:
             self.advance(job)
         if job.ended and not job.out:
             self.release(job)
-            del self.jobs[job.request.request]
+            del self.jobs[job.request.request_id]
 
     def advance(self, job: Job) -> None:
         """Take the next step of the path, wait for one, or end the request."""
@@ -435,13 +439,13 @@
     def release(self, job: Job) -> None:
         """Let go of what may be held for a request."""
         if any(attempt.reads for attempt in job.attempts):
-            self.actions.append(api.Release(job.request.request))
+            self.actions.append(api.Release(job.request.request_id))
         job.state_at = job.place = None
         job.asked.clear()
 
     def finish(self, job: Job) -> Job:
         """Give the final answer: refused where that is known to be harmless, else failed."""
-        cls, request = job.cls, job.request.request
+        cls, request = job.cls, job.request.request_id
         harmless = not job.out and not any(attempt.risky for attempt in job.attempts)
         pause = min(max(0, job.pause), self.settings.retry_after and self.settings.max_retry_after or 0)
         self.actions.append(api.Refuse(request, pause) if harmless or cls.repeatable else api.Fail(request))
@@ -451,7 +455,9 @@
 
     def cancel(self, attempts: Iterable[Attempt]) -> None:
         if self.settings.cancel:
-            self.actions.extend(api.Cancel(a.job.request.request, a.index) for a in attempts if not a.began)
+            self.actions.extend(
+                api.Cancel(a.job.request.request_id, a.index) for a in attempts if not a.began
+            )
 
     def may_send(self, job: Job, server: Server | None) -> bool:
         """Tell whether attempts, copies and effects allow another send, anywhere or to this server."""
@@ -474,11 +480,11 @@
             return False
         server.credit = server.credit if server is job.place else 0.0
         unread = self.unread(job, server) if job.state_at is None else 0
-        held = 0 if reads else job.request.prompt + job.request.max_out
+        held = 0 if reads else job.request.prompt_tokens + job.request.max_output_tokens
         Attempt(job, len(job.attempts), server, reads, held, unread, self.now).take()
         self.sends[reads].add(self.now)
         self.turns.book(server.entry.server)
-        self.actions.append(api.Send(job.request.request, server.entry.server))
+        self.actions.append(api.Send(job.request.request_id, server.entry.server))
         if reads:
             job.near = server
             if self.scarce() or self.places.wanted(self.now, self.settings.probe_price, self.rng):
@@ -539,7 +545,7 @@
         crowding = self.places.crowding(self.now)
         if not self.settings.writers_read or job.local is not None or crowding > CROWDED:
             return []
-        size = job.request.prompt / (self.prompts.value or 1)
+        size = job.request.prompt_tokens / (self.prompts.value or 1)
         most = {Role.WRITE: SHORT if crowding > ROOMY else ROOMY_SHORT, Role.BOTH: 1.0}
         fit = [s for s in self.writers(job) if size <= most[s.role] or not self.live(READERS)]
         return [s for s in fit if not s.waiting and self.delay(s) <= SPILL * job.cls.aim]
@@ -574,7 +580,7 @@
             writers = self.live(WRITERS)
             load = sum(server.streams for server in writers) / max(1, len(writers))
             self.streams.add(load, BLEND)
-            long = job.request.prompt > (self.prompts.value or 0)
+            long = job.request.prompt_tokens > (self.prompts.value or 0)
             job.cell = (long, job.new > job.answer, load > self.streams.value)
         return self.cells.setdefault((job.cell, job.local is not None), (Mean(), Mean()))
 
@@ -585,7 +591,7 @@
         if server not in writers or job.row.at < server.kept_since or server.doubt(self.now, DOUBT) > DOUBTED:
             return None
         busy = server.streams > BUSY_WRITER * max(1, median(s.streams for s in writers))
-        if busy or job.new >= NEW_SHARE * job.request.prompt:
+        if busy or job.new >= NEW_SHARE * job.request.prompt_tokens:
             return None
         self.cell(job)
         local, remote = (self.cells.get((job.cell, path), (Mean(), Mean())) for path in (True, False))
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -10,14 +10,14 @@
 
 from .interface import (
     ClassSettings,
-    Entry,
     FirstToken,
-    Fleet,
     KindSettings,
     Outcome,
-    Place,
     Request,
+    ReservationResult,
     Role,
+    ServerEntry,
+    ServerListUpdate,
     State,
 )
 
@@ -73,7 +73,7 @@
 class Server:
     """A server as this router knows it."""
 
-    entry: Entry
+    entry: ServerEntry
     role: Role
     memory: int
     out: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # our attempts out, oldest first
@@ -101,9 +101,9 @@
     read_since: int = 0  # and what it read before this
     prefixes: dict[str, Rate] = field(default_factory=dict)  # what it read of shared beginnings
 
-    def renew(self, entry: Entry, role: Role, now: int) -> None:
+    def renew(self, entry: ServerEntry, role: Role, now: int) -> None:
         """Take a line of the list in; a restarted server is cold and keeps nothing."""
-        if entry.born > self.entry.born:
+        if entry.started_at > self.entry.started_at:
             self.credit, self.credit_at, self.kept_since, self.read_since = None, now, now, now
             self.strikes = self.aside_until = self.lag = self.told_at = 0
             self.bad.count = self.good.count = 0.0
@@ -122,7 +122,7 @@
 
     def warmth(self, now: int, span: int) -> float:
         """Give how far its time to warm up has run, 1 where it is warm."""
-        return min(1.0, (now - self.entry.born) / span) if self.entry.born and span else 1.0
+        return min(1.0, (now - self.entry.started_at) / span) if self.entry.started_at and span else 1.0
 
     def forget(self, now: int) -> None:
         """Take all that it read as lost; what is out there has to be read whole."""
@@ -130,7 +130,7 @@
         self.prefixes.clear()
         for attempt in self.out.values():
             if attempt.reads:
-                attempt.unread = attempt.job.request.prompt
+                attempt.unread = attempt.job.request.prompt_tokens
 
     def opens(self, pair: tuple[str | None, str]) -> int:
         """Give the time from which it is set aside no more, nor full for a tenant and class."""
@@ -174,14 +174,14 @@
     def take(self) -> None:
         """Book it as out."""
         self.job.attempts.append(self)
-        self.server.out[self.job.request.request, self.index] = self
+        self.server.out[self.job.request.request_id, self.index] = self
         self.server.held += self.held
         self.server.streams += not self.reads
 
     def drop(self) -> None:
         """Book it as over."""
         self.over = True
-        del self.server.out[self.job.request.request, self.index]
+        del self.server.out[self.job.request.request_id, self.index]
         self.server.held -= self.held
         self.server.streams -= not self.reads
 
@@ -195,7 +195,7 @@
         self.by_role: dict[Role, list[Server]] = {}
         self.of_roles: dict[tuple[Role, ...], list[Server]] = {}  # by the roles asked for, till the next list
 
-    def update(self, event: Fleet, now: int) -> None:
+    def update(self, event: ServerListUpdate, now: int) -> None:
         """Take a list in; a whole one removes what it leaves out. A gone server stays while we await it."""
         entries = [entry for entry in event.entries or () if entry.kind in self.kinds]
         named = {entry.server for entry in entries}
@@ -218,10 +218,10 @@
             self.of_roles[key] = [server for role in key for server in self.by_role.get(role, ())]
         return self.of_roles[key]
 
-    def attempt(self, event: FirstToken | Place | Outcome) -> Attempt | None:
+    def attempt(self, event: FirstToken | ReservationResult | Outcome) -> Attempt | None:
         """Give the attempt out that an event speaks of."""
         server = self.get(event.server)
-        return server.out.get((event.request, event.attempt)) if server else None
+        return server.out.get((event.request_id, event.attempt)) if server else None
 
 
 class Ring:
@@ -291,7 +291,7 @@
         """Give the session's row after this answer; a writer's own read leaves the reader as it was."""
         reader = self.reader or (writer if writer.role is Role.BOTH else None)
         if reader is not None:
-            return Row(writer.entry.server, now, reader.entry.server, self.request.prompt)
+            return Row(writer.entry.server, now, reader.entry.server, self.request.prompt_tokens)
         return Row(writer.entry.server, now, *((self.row.reader, self.row.read) if self.row else (None, 0)))
 
     @property
@@ -307,7 +307,7 @@
     @property
     def spot(self) -> str:
         """Give what its place among a prefix's readers hangs on: the session, else the request itself."""
-        return self.request.session or self.request.request
+        return self.request.session or self.request.request_id
 
     @property
     def settled(self) -> bool:
@@ -317,18 +317,18 @@
     @property
     def aim(self) -> int:
         """Give the wanted time to the first token for a prompt of this length."""
-        return self.cls.aim + self.cls.aim_per_1000 * self.request.prompt // 1000
+        return self.cls.aim + self.cls.aim_per_1000 * self.request.prompt_tokens // 1000
 
     @property
     def new(self) -> int:
         """Give the tokens beyond the shared beginning."""
-        return max(0, self.request.prompt - self.request.prefix_len)
+        return max(0, self.request.prompt_tokens - self.request.prefix_len)
 
     @property
     def answer(self) -> int:
         """Give the answer's length as hinted, else its told maximum."""
         request, aim = self.request, self.cls.token_aim
-        return max(1, request.hint // aim if request.hint and aim else request.max_out)
+        return max(1, request.hint // aim if request.hint and aim else request.max_output_tokens)
 
 
 def retune(router, settings) -> None:
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -43,7 +43,7 @@
 
 def probe_path(settings: Settings) -> str:
     """Give the path of a probe: the one that tells the load, where there are reports."""
-    return STATS if settings.waiting_told else LIVE
+    return STATS if settings.waiting_tokens_field else LIVE
 
 
 def read_list(answer: dict) -> Listed:
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -20,7 +20,7 @@
 from hoplane.core.ledger import Ledger
 from hoplane.core.permits import Denial
 from hoplane.core.reducer import Conductor, steps
-from hoplane.decision.interface import KEPT, Status
+from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.decision.rules import Router
 from hoplane.net.aio import Spoilt, Stale
 from hoplane.net.clock import Clock
@@ -144,7 +144,9 @@
         """Give the outcome of an effect that failed as it was performed, for the module to go on with."""
         if isinstance(effect, ev.Forward) and (effect.id, effect.attempt) not in self.attempts:
             self.sent.pop((effect.id, effect.attempt), None)
-            self.feed(ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, KEPT, written=False))
+            self.feed(
+                ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT, written=False)
+            )
         elif isinstance(effect, ev.AskHold):
             self.feed(ev.HoldAnswered(effect.id, effect.attempt, False))
 
@@ -349,12 +351,14 @@
                 self.pool.connector.drop_idle(effect.endpoint.address)
             raise
         except Drained:
-            return over(Status.CONNECT_FAILED, KEPT)  # by us, which tells nothing of the endpoint
+            return over(
+                Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT
+            )  # by us, which tells nothing of the endpoint
         except Stale:
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, KEPT)
+            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             if sent.denied or told.denied or failed_here(error):
-                return over(Status.CONNECT_FAILED, KEPT)
+                return over(Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
             # Guards against a machine that is cut off, which gives no sign: the next request on a connection
             # kept from before would wait in silence again, while a new one fails as soon as a connect may.
             self.pool.connector.drop_idle(effect.endpoint.address)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -31,7 +31,7 @@
 
 
 def entry(server, kind, cell=0, state=api.State.LIVE, born=0, zone="z"):
-    return api.Entry(server, kind, zone, cell, state, 1.0, born)
+    return api.ServerEntry(server, kind, zone, cell, state, 1.0, born)
 
 
 FLEET = (
@@ -73,7 +73,7 @@
         self.now = 1000 * S
         self.count = 0
         self.timers = []
-        self.do(api.Fleet(fleet, whole=True))
+        self.do(api.ServerListUpdate(fleet, whole=True))
 
     def do(self, event, after=0):
         self.now += after
@@ -82,7 +82,13 @@
         return self.actions
 
     def ask(self, request="r", after=0, **fields):
-        told = {"prompt": 2000, "max_out": 200, "patience": 4 * S, "session": request, "prefix": None}
+        told = {
+            "prompt_tokens": 2000,
+            "max_output_tokens": 200,
+            "time_left": 4 * S,
+            "session": request,
+            "prefix": None,
+        }
         return self.do(api.Request(request, "c", **{**told, **fields}), after)
 
     def outcome(self, status, server, request="r", attempt=0, after=10 * MS, **fields):
@@ -104,7 +110,7 @@
     def leave(self, request):
         """The client leaves, and what was out for it is cancelled."""
         out = [(a.index, a.server.entry.server) for a in self.router.jobs[request].out]
-        self.do(api.Gone(request))
+        self.do(api.ClientDisconnected(request))
         for attempt, server in out:
             self.outcome(api.Status.CANCELLED, server, request, attempt, after=0)
 
@@ -115,7 +121,7 @@
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            seen += self.do(api.Timer(timer[1]))
+            seen += self.do(api.TimerFired(timer[1]))
         self.now = max(self.now, until)
         self.actions = seen
         return seen
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -78,8 +78,8 @@
         "family_info.report_x1=share_of_memory_that_is_held"
     )
     settings = adapter.read_settings(adapter.split_fields(f"{CONF} {told}".split()))
-    assert (settings.waiting_told, settings.held_told) == ("x0", "x1")
-    assert adapter.read_settings(adapter.split_fields(CONF.split())).waiting_told is None
+    assert (settings.waiting_tokens_field, settings.held_memory_field) == ("x0", "x1")
+    assert adapter.read_settings(adapter.split_fields(CONF.split())).waiting_tokens_field is None
 
 
 def test_settings_keep_the_interfaces_values_where_absent():
@@ -97,17 +97,22 @@
         ),
     )
     assert [kind.memory for kind in settings.kinds] == [190000, 150000]
-    assert settings.cold == 14 * 10**9 and settings.ahead is False and settings.max_retry_after is None
+    assert (
+        settings.cold == 14 * 10**9 and settings.reserve_ahead is False and settings.max_retry_after is None
+    )
 
 
 @pytest.mark.parametrize(
     ("line", "event"),
     [
-        ("bell handle=77", api.Timer(77)),
-        ("timed_out_client req=a", api.Gone("a")),
+        ("bell handle=77", api.TimerFired(77)),
+        ("timed_out_client req=a", api.ClientDisconnected("a")),
         ("headers req=a attempt=1 engine=8 wait_time=5", api.FirstToken("a", 1, 8, 5)),
-        ("hold_result req=a attempt=0 engine=8 topic=2 value=0", api.Place("a", 0, 8, False)),
-        ("probed ending=done engine=8 wait_time=5 gauge=x0:1", api.Probed(8, api.Status.OK, 5, {"x0": 1.0})),
+        ("hold_result req=a attempt=0 engine=8 topic=2 value=0", api.ReservationResult("a", 0, 8, False)),
+        (
+            "probed ending=done engine=8 wait_time=5 gauge=x0:1",
+            api.ProbeResult(8, api.Status.OK, 5, {"x0": 1.0}),
+        ),
         ("note_from origin_peer=2 msg=aGkgNw==", api.PeerMessage(2, b"hi 7")),
         ("note_from origin_peer=2 msg=-", api.PeerMessage(2, b"")),
         (
@@ -125,17 +130,17 @@
     ("action", "line"),
     [
         (api.Send("a", 7, 80), "pass_on router_id=r req=a within=80 engine=7"),
-        (api.Hold("a", 7), "hold_place router_id=r req=a engine=7"),
+        (api.Reserve("a", 7), "hold_place router_id=r req=a engine=7"),
         (api.Release("a"), "unpin router_id=r req=a"),
         (api.Cancel("a", 1), "undo_send router_id=r req=a attempt=1"),
         (api.Refuse("a", 5), "shed router_id=r req=a pause=5"),
         (api.Fail("a"), "drop_request router_id=r req=a"),
-        (api.Move("a"), "reassign router_id=r req=a"),
+        (api.EndStream("a"), "reassign router_id=r req=a"),
         (api.SetTimer(9, 1), "wake_me router_id=r fire_at=9 handle=1"),
         (api.Probe(7), "ping router_id=r engine=7"),
-        (api.Tell(None, b"hi 7"), "broadcast_to router_id=r dest=-1 msg=aGkgNw=="),
-        (api.Tell(2, b""), "broadcast_to router_id=r dest=2 msg=-"),
-        (api.Watch(), "observe router_id=r want=1"),
+        (api.SendPeerMessage(None, b"hi 7"), "broadcast_to router_id=r dest=-1 msg=aGkgNw=="),
+        (api.SendPeerMessage(2, b""), "broadcast_to router_id=r dest=2 msg=-"),
+        (api.SubscribeServerList(), "observe router_id=r want=1"),
         (api.Log("two\nlines"), "remark router_id=r line=two lines"),
     ],
 )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -21,7 +21,7 @@
         api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
     ),
     cancel=True,
-    ahead=True,
+    reserve_ahead=True,
     retry_after=True,
     max_retry_after=10**9,
     release_within=500_000_000,
@@ -120,7 +120,7 @@
 
 def test_what_was_read_is_let_go_of_in_time_while_attempts_at_writers_do_not_come_up():
     """Guards against a zone that is cut off: each writer there takes the time that a connection may."""
-    core = Core(ahead=False)
+    core = Core(reserve_ahead=False)
     core.ask()
     write, since = core.read(holds=0), core.now
     (held,) = [each for each in core.of(ev.Wake) if isinstance(each.timer, Held)]
@@ -271,16 +271,16 @@
 
 def test_a_silent_endpoint_is_probed_and_the_answer_told_to_the_module(core, monkeypatch):
     told = []
-    monkeypatch.setitem(core.state.router.handlers, api.Probed, lambda event: told.append(event))
+    monkeypatch.setitem(core.state.router.handlers, api.ProbeResult, lambda event: told.append(event))
     monkeypatch.setitem(
         core.state.router.handlers,
-        api.Timer,
+        api.TimerFired,
         lambda event: core.state.router.actions.append(api.Probe(core.state.number("w"))),
     )
     (probe,) = core.do(ev.Due(1))
     assert probe == ev.Probe(core.state.number("w"), endpoint("w", "writer"))
     core.do(ev.Probed(probe.server, Status.TIMEOUT, 300 * MS))
-    assert told == [api.Probed(probe.server, Status.TIMEOUT, 300_000_000)]
+    assert told == [api.ProbeResult(probe.server, Status.TIMEOUT, 300_000_000)]
     core.do(ev.Listed((endpoint("w", "writer", State.GONE),), False))
     core.do(ev.Probed(probe.server, Status.OK, MS))
     assert len(told) == 1 and core.do(ev.Due(1)) == [], "an endpoint that is gone is asked no more"
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -39,7 +39,7 @@
     for number in range(4):
         desk.ask(f"r{number}", session="p")
         assert desk.sent() == [first]
-        desk.outcome(Status.RESET, first, f"r{number}", after=2 * MS, note=api.KEPT)
+        desk.outcome(Status.RESET, first, f"r{number}", after=2 * MS, detail=api.SERVER_NOT_AT_FAULT)
     desk.ask("again", session="p")
     desk.outcome(Status.RESET, first, "again", after=2 * MS)
     desk.ask("more", session="p")
@@ -59,7 +59,7 @@
         for server in desk.sent():
             attempt = len(desk.router.jobs[f"r{number}"].attempts) - 1
             desk.outcome(Status.MISS, server, f"r{number}", attempt)
-            desk.do(api.Gone(f"r{number}"))
+            desk.do(api.ClientDisconnected(f"r{number}"))
     assert sends < 12
 
 
@@ -113,7 +113,7 @@
     sends, lost = Counter(), 0
     for number in range(60):
         name = f"r{number}"
-        desk.ask(name, after=50 * MS, patience=60 * S)
+        desk.ask(name, after=50 * MS, time_left=60 * S)
         desk.outcome(Status.MISS, READER_A, name)
         for attempt in range(1, 6):
             if not desk.sent() or (writer := desk.sent()[0]) == READER_A:
@@ -148,7 +148,7 @@
     fleet = entry(READER_A, "reader"), entry(WRITER_A, "writer")
     desk = Desk(fleet=fleet, effect=effect, writers_read=False)
     for request, after in (("lost", 0), ("later", 600 * MS)):
-        desk.ask(request, after=after, patience=60 * S)
+        desk.ask(request, after=after, time_left=60 * S)
         desk.outcome(Status.MISS, READER_A, request)
         assert desk.sent() == [WRITER_A]
     desk.first(WRITER_A, "later")
@@ -193,7 +193,7 @@
         desk.ask(f"r{number}")
     waiting = {f"r{n}": desk.router.jobs[f"r{n}"].out[0].server.entry.server for n in range(6)}
     for request, reader in waiting.items():
-        desk.do(api.Gone(request))
+        desk.do(api.ClientDisconnected(request))
         desk.do(api.Outcome(request, 0, reader, Status.CANCELLED, 2 * S))
     desk.ask("next")
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
@@ -217,10 +217,10 @@
     for writer, span in ((WRITER_A, 5 * S), (WRITER_B, 2 * S)):
         desk.router.servers[writer].aside_until = desk.now + span
     desk.ask()
-    assert [a.pause for a in desk.of(api.Refuse)] == [2 * S]
+    assert [a.retry_after for a in desk.of(api.Refuse)] == [2 * S]
     desk.router.servers[WRITER_B].aside_until = desk.now + 9 * S
     desk.ask("r2")
-    assert [a.pause for a in desk.of(api.Refuse)] == [3 * S]  # as long as clients heed
+    assert [a.retry_after for a in desk.of(api.Refuse)] == [3 * S]  # as long as clients heed
 
 
 def test_with_every_writer_back_before_it_is_late_a_request_waits():
@@ -237,7 +237,7 @@
     desk.ask()
     reader = desk.sent()[0]
     gone = tuple(entry(s, "writer", c, api.State.GONE) for s, c in ((WRITER_A, 0), (WRITER_B, 1)))
-    desk.do(api.Fleet(gone, whole=False))
+    desk.do(api.ServerListUpdate(gone, whole=False))
     desk.outcome(Status.MISS, reader)
     assert desk.ends() == [api.Refuse] and desk.of(api.Release) == [api.Release("r")]
 
@@ -247,7 +247,7 @@
     reader = desk.sent()[0]
     desk.outcome(Status.MISS, reader)
     writer = desk.sent()[0]
-    desk.outcome(Status.FULL, writer, attempt=1, note=1)
+    desk.outcome(Status.FULL, writer, attempt=1, detail=1)
     assert desk.sent()[0] in (READER_A, READER_B)
 
 
@@ -307,7 +307,7 @@
     desk.serve("before")
     jam(desk, wait)
     desk.ask("r", retry=retry)
-    assert [a.pause // (50 * MS) for a in desk.of(api.Refuse)] == pauses
+    assert [a.retry_after // (50 * MS) for a in desk.of(api.Refuse)] == pauses
 
 
 def test_where_no_wait_can_be_told_a_repeat_meets_the_limit_of_a_first_try():
@@ -349,7 +349,7 @@
     first = home(desk)
     desk.outcome(Status.CONNECT_FAILED, first, "probe", after=200 * MS)
     cell = {READER_A: 0, READER_B: 1}[first]
-    desk.do(api.Fleet((entry(first, "reader", cell, born=desk.now - 20 * S),), whole=False))
+    desk.do(api.ServerListUpdate((entry(first, "reader", cell, born=desk.now - 20 * S),), whole=False))
     assert desk.router.servers[first] in desk.router.usable((api.Role.READ,))
 
 
@@ -411,40 +411,42 @@
 
 def test_only_a_short_prompt_is_read_by_a_writer():
     desk = jammed()
-    desk.ask("short", prompt=2000)
+    desk.ask("short", prompt_tokens=2000)
     assert desk.sent()[0] in (WRITER_A, WRITER_B)
     desk.leave("short")
-    desk.ask("longer", prompt=9_000)
+    desk.ask("longer", prompt_tokens=9_000)
     assert desk.sent()[0] in (WRITER_A, WRITER_B), "as writers have room"
     desk.leave("longer")
-    desk.ask("long", prompt=15_000)
+    desk.ask("long", prompt_tokens=15_000)
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
     desk.router.places.add(desk.now, False)
-    desk.ask("too long now", prompt=9_000)
+    desk.ask("too long now", prompt_tokens=9_000)
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
 
 
 def test_a_mixed_server_reads_prompts_up_to_the_mean_where_readers_jam():
     desk = jammed(fleet=(*FLEET, entry(31, "mixed")))
-    desk.ask("mean", prompt=9_000)
+    desk.ask("mean", prompt_tokens=9_000)
     assert desk.sent() == [31]
 
 
 def ahead(**changes):
-    desk = Desk(ahead=True, **changes)
+    desk = Desk(reserve_ahead=True, **changes)
     desk.ask()
-    return desk, desk.sent()[0], desk.of(api.Hold)[0].server
+    return desk, desk.sent()[0], desk.of(api.Reserve)[0].server
 
 
 def crowded(**changes):
     """Give a desk that asked for many places of late, none of them held."""
-    desk = Desk(ahead=True, fleet=(*FLEET[:2], *(entry(200 + n, "writer") for n in range(4))), **changes)
+    desk = Desk(
+        reserve_ahead=True, fleet=(*FLEET[:2], *(entry(200 + n, "writer") for n in range(4))), **changes
+    )
     for number in range(40):
         desk.ask(f"r{number}")
         if not (readers := desk.sent()):
             return desk
-        while desk.of(api.Hold):
-            desk.do(api.Place(f"r{number}", 0, readers[0], held=False))
+        while desk.of(api.Reserve):
+            desk.do(api.ReservationResult(f"r{number}", 0, readers[0], reserved=False))
         desk.leave(f"r{number}")
     raise AssertionError("nothing was refused")
 
@@ -467,8 +469,8 @@
 
 def test_a_place_is_held_during_the_read_and_taken():
     desk, reader, writer = ahead()
-    desk.do(api.Place("r", 0, reader, held=True))
-    assert desk.of(api.Hold) == []
+    desk.do(api.ReservationResult("r", 0, reader, reserved=True))
+    assert desk.of(api.Reserve) == []
     desk.router.servers[writer].held = 10**6  # what we think of it no longer counts
     desk.outcome(Status.MISS, reader)
     assert desk.sent() == [writer]
@@ -476,35 +478,35 @@
 
 def test_a_place_that_is_not_to_be_had_sends_us_to_the_next_writer():
     desk, reader, writer = ahead()
-    desk.do(api.Place("r", 0, reader, held=False))
-    other = desk.of(api.Hold)[0].server
+    desk.do(api.ReservationResult("r", 0, reader, reserved=False))
+    other = desk.of(api.Reserve)[0].server
     assert other != writer
-    desk.do(api.Place("r", 0, reader, held=False))
-    assert desk.of(api.Hold) == []
+    desk.do(api.ReservationResult("r", 0, reader, reserved=False))
+    assert desk.of(api.Reserve) == []
     desk.outcome(Status.MISS, reader)
     assert len(desk.sent()) == 1
 
 
 def test_a_place_held_is_let_go_where_the_read_fails():
     desk, reader, _ = ahead()
-    desk.do(api.Place("r", 0, reader, held=True))
+    desk.do(api.ReservationResult("r", 0, reader, reserved=True))
     desk.outcome(Status.ERROR, reader)
     assert api.Release("r") in desk.actions
 
 
 def test_no_place_is_asked_for_where_that_is_not_allowed(desk):
     desk.ask()
-    assert desk.of(api.Hold) == []
+    assert desk.of(api.Reserve) == []
 
 
 def test_a_place_or_probe_that_nobody_asked_for_does_no_harm(desk):
     desk.ask()
     before = desk.router.jobs["r"].out
     for event in (
-        api.Place("r", 0, before[0].server.entry.server, held=True),
-        api.Place("x", 3, WRITER_A, held=False),
-        api.Probed(WRITER_A, Status.OK, MS),
-        api.Probed(999, Status.TIMEOUT, MS),
+        api.ReservationResult("r", 0, before[0].server.entry.server, reserved=True),
+        api.ReservationResult("x", 3, WRITER_A, reserved=False),
+        api.ProbeResult(WRITER_A, Status.OK, MS),
+        api.ProbeResult(999, Status.TIMEOUT, MS),
         api.PeerMessage(5, b""),
         api.PeerMessage(5, b"\xff\x00noise"),
         api.PeerMessage(-1, b"v9:" + bytes(250)),
@@ -518,7 +520,7 @@
     desk, told = Desk(fleet=MANY_READERS, **changes), []
     first = home(desk)
     desk.outcome(Status.CONNECT_FAILED, first, "probe", after=200 * MS)
-    told += desk.of(api.Tell)
+    told += desk.of(api.SendPeerMessage)
     return desk, first, told
 
 
@@ -540,7 +542,7 @@
     one.ask(tenant="small")
     reader = one.sent()[0]
     one.outcome(Status.FULL, reader)
-    word = one.of(api.Tell)[0].data
+    word = one.of(api.SendPeerMessage)[0].data
     newer, noise = b"\x02" + word[1:], word[:1] + b"c" + word[2:]
     for junk in (b"", word[:-1], word + b"x", newer, noise, bytes(len(word))):
         other.do(api.PeerMessage(0, junk))
@@ -563,7 +565,7 @@
     one.ask()
     reader = one.sent()[0]
     one.outcome(Status.CONNECT_FAILED, reader, after=200 * MS)
-    other.do(api.PeerMessage(0, one.of(api.Tell)[0].data))
+    other.do(api.PeerMessage(0, one.of(api.SendPeerMessage)[0].data))
     other.ask()
     assert other.sent() == [READER_A + READER_B - reader]
 
@@ -587,17 +589,17 @@
     desk = Desk(fleet=(entry(READER_A, "reader"), *FLEET[2:]), retry_after=True)
     reader = desk.router.servers[READER_A]
     for prefix in ("a", "b"):
-        desk.serve(prefix, prompt=5000, prefix=prefix, prefix_len=4000)
-    desk.ask("kept", session="n1", prompt=5000, prefix="a", prefix_len=4000)
-    desk.ask("next", session="n2", prompt=5000, prefix="b", prefix_len=4000)
+        desk.serve(prefix, prompt_tokens=5000, prefix=prefix, prefix_len=4000)
+    desk.ask("kept", session="n1", prompt_tokens=5000, prefix="a", prefix_len=4000)
+    desk.ask("next", session="n2", prompt_tokens=5000, prefix="b", prefix_len=4000)
     assert reader.waiting == 2000
-    desk.outcome(Status.MISS, READER_A, "kept", note=4000)
+    desk.outcome(Status.MISS, READER_A, "kept", detail=4000)
     assert reader.waiting == 1000, "what was kept as thought tells of no loss"
-    desk.ask("lost", session="n3", prompt=5000, prefix="a", prefix_len=4000)
-    desk.outcome(Status.MISS, READER_A, "lost", note=0)
+    desk.ask("lost", session="n3", prompt_tokens=5000, prefix="a", prefix_len=4000)
+    desk.outcome(Status.MISS, READER_A, "lost", detail=0)
     assert reader.waiting == 5000 and list(reader.prefixes) == ["a"], "only what was read anew is there"
-    desk.outcome(Status.MISS, READER_A, "next", note=0)
-    desk.ask("turn", session="b", prompt=6000)
+    desk.outcome(Status.MISS, READER_A, "next", detail=0)
+    desk.ask("turn", session="b", prompt_tokens=6000)
     assert desk.router.unread(desk.router.jobs["turn"], reader) == 6000, "and of earlier turns"
 
 
@@ -612,7 +614,7 @@
 
 def test_a_silent_server_that_does_not_answer_a_probe_is_left_at_once():
     desk, reader = silent()
-    desk.do(api.Probed(reader, Status.TIMEOUT, 300 * MS), after=250 * MS)
+    desk.do(api.ProbeResult(reader, Status.TIMEOUT, 300 * MS), after=250 * MS)
     assert desk.of(api.Cancel) == [api.Cancel("probe", 0)]
     desk.outcome(Status.CANCELLED, reader, "probe")
     assert desk.sent() and desk.sent() != [reader], "there is time to read elsewhere"
@@ -623,22 +625,22 @@
 
 def test_a_silent_server_that_answers_a_probe_is_jammed_and_given_time():
     desk, reader = silent()
-    desk.do(api.Probed(reader, Status.OK, MS))
+    desk.do(api.ProbeResult(reader, Status.OK, MS))
     desk.run_timers(desk.now + S)
     assert desk.of(api.Cancel) == [], "the work that it has done would be lost"
     desk.run_timers(desk.now + S)
     assert desk.of(api.Cancel) == [api.Cancel("probe", 0)], "yet not for ever"
 
 
-REPORTS = {"waiting_told": "x1", "held_told": "x0"}
+REPORTS = {"waiting_tokens_field": "x1", "held_memory_field": "x0"}
 
 
 def test_a_read_is_lost_where_a_probe_tells_that_hardly_anything_waits():
     desk, reader = silent(**REPORTS)
-    desk.do(api.Probed(reader, Status.OK, MS, {"x0": 0.1, "x1": 0.0}))
+    desk.do(api.ProbeResult(reader, Status.OK, MS, {"x0": 0.1, "x1": 0.0}))
     desk.run_timers(desk.now + 420 * MS)
     assert desk.of(api.Probe) and not desk.of(api.Cancel), "the first report may be older than the read"
-    desk.do(api.Probed(reader, Status.OK, MS, {"x0": 0.1, "x1": 0.4}))
+    desk.do(api.ProbeResult(reader, Status.OK, MS, {"x0": 0.1, "x1": 0.4}))
     desk.run_timers(desk.now + 200 * MS)
     assert desk.of(api.Cancel) == [api.Cancel("probe", 0)], "in time to read elsewhere"
     desk.outcome(Status.CANCELLED, reader, "probe")
@@ -652,14 +654,14 @@
 def test_a_read_is_not_lost_where_a_probe_tells_of_a_jam_or_nothing(load):
     desk, reader = silent(**REPORTS)
     for _ in range(2):
-        desk.do(api.Probed(reader, Status.OK, MS, load))
+        desk.do(api.ProbeResult(reader, Status.OK, MS, load))
         desk.run_timers(desk.now + 420 * MS)
     assert desk.of(api.Cancel) == []
 
 
 def test_a_probe_that_was_reset_tells_nothing():
     desk, reader = silent()
-    desk.do(api.Probed(reader, Status.RESET, MS))
+    desk.do(api.ProbeResult(reader, Status.RESET, MS))
     assert desk.actions == []
     desk.run_timers(desk.now + 400 * MS)
     assert desk.of(api.Cancel) == [api.Cancel("probe", 0)], "as where no probes are allowed"
@@ -667,16 +669,16 @@
 
 def test_a_server_set_aside_is_probed_before_its_return_and_stays_aside_while_it_is_dead():
     desk, reader = silent()
-    desk.do(api.Probed(reader, Status.CONNECT_FAILED, MS))
+    desk.do(api.ProbeResult(reader, Status.CONNECT_FAILED, MS))
     desk.leave("probe")
     assert desk.run_timers(desk.now + 700 * MS)[-1] == api.Probe(reader)
-    desk.do(api.Probed(reader, Status.TIMEOUT, 300 * MS), after=300 * MS)
+    desk.do(api.ProbeResult(reader, Status.TIMEOUT, 300 * MS), after=300 * MS)
     desk.ask("r2", session="p", after=500 * MS)
     assert desk.sent() and desk.sent() != [reader], "no request found out that it was dead"
     desk.leave("r2")
     probes = [a for a in desk.run_timers(desk.now + 1200 * MS) if isinstance(a, api.Probe)]
     assert probes == [api.Probe(reader)]
-    desk.do(api.Probed(reader, Status.OK, MS))
+    desk.do(api.ProbeResult(reader, Status.OK, MS))
     desk.ask("r3", session="p", after=400 * MS)
     assert desk.sent() == [reader]
 
@@ -701,18 +703,18 @@
 
 
 def test_a_first_short_read_tells_nothing_of_the_speed_of_long_ones(desk):
-    desk.ask("short", prompt=50)
+    desk.ask("short", prompt_tokens=50)
     desk.outcome(Status.MISS, desk.sent()[0], "short", after=40 * MS)
-    desk.ask("long", prompt=9000)
+    desk.ask("long", prompt_tokens=9000)
     assert desk.sent() and desk.ends() == []
 
 
 def test_a_read_that_others_have_passed_has_the_time_of_all_before_it():
     desk = Desk(fleet=(entry(READER_A, "reader"), *FLEET[2:]), writers_read=False)
-    desk.serve("before", prompt=1000)
+    desk.serve("before", prompt_tokens=1000)
     desk.router.speed = 10_000.0
-    desk.ask("lost", prompt=5000, patience=60 * S)
-    desk.ask("later", prompt=100, after=300 * MS)
+    desk.ask("lost", prompt_tokens=5000, time_left=60 * S)
+    desk.ask("later", prompt_tokens=100, after=300 * MS)
     desk.outcome(Status.MISS, READER_A, "later")
     desk.run_timers(desk.now + 600 * MS)
     assert desk.of(api.Cancel) == []
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -23,7 +23,7 @@
     """Ask for texts that the router knows nothing of, all at once, and count the refusals."""
     refused = 0
     for number in range(most):
-        desk.ask(f"b{number}", prompt=3000, prefix=f"t{number}", prefix_len=2000)
+        desk.ask(f"b{number}", prompt_tokens=3000, prefix=f"t{number}", prefix_len=2000)
         refused += desk.ends() == [api.Refuse]
     return refused
 
@@ -31,8 +31,8 @@
 def test_after_a_restart_what_others_had_read_is_not_taken_as_unread():
     desk = restarted()
     for number in range(12):  # readers keep nearly all of what this router never saw
-        desk.ask(f"r{number}", prompt=3000, prefix=f"p{number}", prefix_len=2000)
-        desk.outcome(Status.MISS, READER_A, f"r{number}", note=2900)
+        desk.ask(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        desk.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         desk.leave(f"r{number}")
     desk.router.speed = 10_000.0
     assert burst(desk) == 0, "600 tokens, not 18,000"
@@ -41,8 +41,8 @@
 def test_texts_that_nobody_has_read_are_learnt_to_be_unread():
     desk = restarted()
     for number in range(30):
-        desk.ask(f"r{number}", prompt=3000, prefix=f"p{number}", prefix_len=2000)
-        desk.outcome(Status.MISS, READER_A, f"r{number}", note=0, after=300 * MS)
+        desk.ask(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        desk.outcome(Status.MISS, READER_A, f"r{number}", detail=0, after=300 * MS)
         desk.leave(f"r{number}")
     assert burst(desk) > 0
 
@@ -50,8 +50,8 @@
 def test_where_a_refusal_tells_the_wait_the_guess_stays_at_the_worst_case():
     desk = restarted(retry_after=True, max_retry_after=S)
     for number in range(12):
-        desk.ask(f"r{number}", prompt=3000, prefix=f"p{number}", prefix_len=2000)
-        desk.outcome(Status.MISS, READER_A, f"r{number}", note=2900)
+        desk.ask(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        desk.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         desk.leave(f"r{number}")
     desk.router.speed = 10_000.0
     assert burst(desk) > 0
@@ -65,7 +65,7 @@
 
 def unheard(desk):
     """Let the probe of the only reader time out, and tell whether its work is taken away."""
-    desk.do(api.Probed(READER_A, Status.TIMEOUT, 250 * MS), after=250 * MS)
+    desk.do(api.ProbeResult(READER_A, Status.TIMEOUT, 250 * MS), after=250 * MS)
     return bool(desk.of(api.Cancel))
 
 
@@ -78,7 +78,7 @@
     desk.run_timers(desk.now + 9 * S)
     silent(desk, "second")
     assert not unheard(desk)
-    desk.do(api.Probed(READER_A, Status.CONNECT_FAILED, 250 * MS), after=500 * MS)
+    desk.do(api.ProbeResult(READER_A, Status.CONNECT_FAILED, 250 * MS), after=500 * MS)
     assert desk.of(api.Cancel), "a connection that never comes up tells all the same"
 
 
@@ -92,7 +92,7 @@
     desk.run_timers(desk.now + 9 * S)
     silent(desk, "second")
     for _ in range(beside):
-        desk.do(api.Probed(READER_A, Status.OK, MS))
+        desk.do(api.ProbeResult(READER_A, Status.OK, MS))
     assert unheard(desk) is heeded
 
 
@@ -100,8 +100,8 @@
     desk = Desk(fleet=ONE_READER, probes=True)
     silent(desk, "first")
     assert unheard(desk)
-    desk.do(api.Fleet((entry(READER_A, "reader", born=desk.now),), whole=False))
-    desk.do(api.Probed(READER_A, Status.OK, MS), after=9 * S)
+    desk.do(api.ServerListUpdate((entry(READER_A, "reader", born=desk.now),), whole=False))
+    desk.do(api.ProbeResult(READER_A, Status.OK, MS), after=9 * S)
     assert desk.router.trust.false == 0
 
 
@@ -118,25 +118,25 @@
 @pytest.mark.parametrize(("retry", "ends"), [(False, [api.Refuse]), (True, [])])
 def test_a_tenants_marked_repeats_do_not_take_it_over_its_share(retry, ends):
     desk = restarted(tenants=(api.TenantSettings("t", 0.5, 3.0),))
-    desk.serve("warm", tenant="t", prompt=100)
+    desk.serve("warm", tenant="t", prompt_tokens=100)
     desk.router.speed = 10_000.0
     for number in range(40):  # over 5 s, of 15 that are within the share
-        desk.ask(f"r{number}", prompt=10, tenant="t", retry=retry)
+        desk.ask(f"r{number}", prompt_tokens=10, tenant="t", retry=retry)
         desk.leave(f"r{number}")
-    desk.ask("big", prompt=6500)
-    desk.ask("next", prompt=1500, tenant="t")
+    desk.ask("big", prompt_tokens=6500)
+    desk.ask("next", prompt_tokens=1500, tenant="t")
     assert desk.ends() == ends
 
 
 def test_a_tenant_is_not_over_its_share_by_chance():
     desk = restarted(tenants=(api.TenantSettings("t", 0.5, 3.0),))
-    desk.serve("warm", tenant="t", prompt=100)
+    desk.serve("warm", tenant="t", prompt_tokens=100)
     desk.router.speed = 10_000.0
     for number in range(17):
-        desk.ask(f"r{number}", prompt=10, tenant="t")
+        desk.ask(f"r{number}", prompt_tokens=10, tenant="t")
         desk.leave(f"r{number}")
-    desk.ask("big", prompt=6500)
-    desk.ask("next", prompt=1500, tenant="t")
+    desk.ask("big", prompt_tokens=6500)
+    desk.ask("next", prompt_tokens=1500, tenant="t")
     assert desk.ends() == []
 
 
@@ -144,12 +144,16 @@
     """Give a router whose writers all came back cold a while after it had sent them anything."""
     desk = Desk(cold=30 * S, cold_share=0.3, fall_multiple=2.5, **changes)
     desk.now += 20 * S
-    desk.do(api.Fleet(FLEET[:2] + tuple(entry(w, "writer", born=desk.now) for w in (21, 22)), whole=True))
+    desk.do(
+        api.ServerListUpdate(
+            FLEET[:2] + tuple(entry(w, "writer", born=desk.now) for w in (21, 22)), whole=True
+        )
+    )
     return desk
 
 
 def test_writers_that_all_came_back_cold_get_work_by_what_clients_ask_and_not_by_what_was_sent():
-    desk, written, reads = all_back_cold(ahead=True), 0, 0
+    desk, written, reads = all_back_cold(reserve_ahead=True), 0, 0
     for number in range(220):  # 10 a second, the first 10 s to be known
         request = f"r{number}"
         desk.ask(request, after=100 * MS)
@@ -157,7 +161,7 @@
             desk.leave(request)
             continue
         reads += number >= 120
-        desk.do(api.Place(request, 0, sent[0], held=True))
+        desk.do(api.ReservationResult(request, 0, sent[0], reserved=True))
         desk.outcome(Status.MISS, sent[0], request, after=0)
         written += number >= 120 and len(desk.sent())
         desk.leave(request)
@@ -180,13 +184,13 @@
     desk.ask("slow")
     desk.outcome(api.Status.MISS, desk.sent()[0], "slow", after=2500 * MS)
     writer = desk.sent()[0]
-    desk.ask("at once", prompt=2500)
+    desk.ask("at once", prompt_tokens=2500)
     assert desk.ends() == [api.Refuse], "it is believed while it is fresh"
     desk.first(writer, "slow")
     desk.outcome(api.Status.OK, writer, "slow", 1, after=S, closed=True)
     refused = 0
     for n in range(12):
-        desk.ask(f"q{n}", after=S, prompt=2500)
+        desk.ask(f"q{n}", after=S, prompt_tokens=2500)
         if not desk.sent():
             refused += 1
             continue
@@ -205,7 +209,7 @@
         desk.ask("first")
         desk.outcome(api.Status.MISS, desk.sent()[0], "first", after=900 * MS)
         desk.leave("first")
-        desk.ask("long", prompt=6000, after=10 * MS)
+        desk.ask("long", prompt_tokens=6000, after=10 * MS)
         return desk.ends()
 
     assert ends(1) == [api.Refuse], "2.7 s at an aim of 1 s, with one router to the one reader"
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -12,7 +12,7 @@
 from hoplane.decision.interface import Status
 from hoplane.decision.state import Mean
 
-LATER = {"prompt": 4000, "prefix_len": 3500, "session": "s", "prefix": "p"}
+LATER = {"prompt_tokens": 4000, "prefix_len": 3500, "session": "s", "prefix": "p"}
 
 
 @pytest.fixture(autouse=True)
@@ -56,7 +56,7 @@
 def test_a_later_turn_in_an_empty_cell_with_many_new_tokens_is_remote():
     desk, _ = with_row()
     desk.router.cells.clear()
-    desk.ask("r2", **{**LATER, "prompt": 20_000, "prefix_len": 17_000})
+    desk.ask("r2", **{**LATER, "prompt_tokens": 20_000, "prefix_len": 17_000})
     assert desk.sent()[0] in (READER_A, READER_B)
 
 
@@ -138,7 +138,7 @@
     order = [server.entry.server for server in desk.router.ring.walk("p7")]
     sent = []
     for number in range(7):
-        desk.ask(f"r{number}", session="p7", prompt=2000)
+        desk.ask(f"r{number}", session="p7", prompt_tokens=2000)
         sent += desk.sent()
     assert sent == [order[0]] * 3 + [order[1]] * 3 + [order[2]]
 
@@ -158,7 +158,7 @@
     desk.ask("r2", **LATER)
     assert desk.sent() == [writer]
     desk.first(writer, "r2", 0)
-    desk.outcome(Status.OK, writer, "r2", 0, after=S, closed=True, note=0)
+    desk.outcome(Status.OK, writer, "r2", 0, after=S, closed=True, detail=0)
     desk.router.rows["old"] = desk.router.rows["s"]
     desk.router.rows["old"].at -= 2 * S
     desk.ask("r3", **{**LATER, "session": "old"})
@@ -168,7 +168,7 @@
 def test_a_restarted_writer_holds_no_rows():
     desk, writer = with_row()
     cell = {WRITER_A: 0, WRITER_B: 1}[writer]
-    desk.do(api.Fleet((entry(writer, "writer", cell, born=desk.now - S),), whole=False), after=MS)
+    desk.do(api.ServerListUpdate((entry(writer, "writer", cell, born=desk.now - S),), whole=False), after=MS)
     desk.ask("r2", **LATER)
     assert desk.sent()[0] in (READER_A, READER_B)
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -11,7 +11,7 @@
 
 
 def asking(conductors, seed=1, position=0):
-    told = settings(must_ask=True, routers=conductors, position=position)
+    told = settings(must_subscribe=True, routers=conductors, position=position)
     return Pacing(told, random.Random(seed))
 
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -15,7 +15,7 @@
 
 from hoplane.core import release
 from hoplane.core.events import Asked, Endpoint, Forward, Left, LetGo
-from hoplane.decision.interface import KEPT, State, Status
+from hoplane.decision.interface import SERVER_NOT_AT_FAULT, State, Status
 from hoplane.fronts.platform import read_list
 from hoplane.net.pool import Drained, Pool, Sending
 from hoplane.net.wire import Call
@@ -308,11 +308,11 @@
 @pytest.mark.parametrize(
     "code, note",
     [
-        (errno.EADDRNOTAVAIL, KEPT),
-        (errno.ENETUNREACH, KEPT),
-        (errno.ENFILE, KEPT),
-        (errno.ENOBUFS, KEPT),
-        (errno.EMFILE, KEPT),
+        (errno.EADDRNOTAVAIL, SERVER_NOT_AT_FAULT),
+        (errno.ENETUNREACH, SERVER_NOT_AT_FAULT),
+        (errno.ENFILE, SERVER_NOT_AT_FAULT),
+        (errno.ENOBUFS, SERVER_NOT_AT_FAULT),
+        (errno.EMFILE, SERVER_NOT_AT_FAULT),
         (errno.ECONNREFUSED, 0),
         (errno.EHOSTUNREACH, 0),
         (errno.ETIMEDOUT, 0),
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -5,12 +5,12 @@
 from hoplane.decision import interface as api
 from hoplane.decision.interface import Status
 
-TOLD = {"held_told": "x0"}
+TOLD = {"held_memory_field": "x0"}
 WRITERS = tuple(entry(200 + n, "writer") for n in range(6))
 
 
 def tell(desk, server, held):
-    desk.do(api.Probed(server, Status.OK, MS, {"x0": held}))
+    desk.do(api.ProbeResult(server, Status.OK, MS, {"x0": held}))
 
 
 def first_writers(desk, count=30):
@@ -51,16 +51,16 @@
 
 def test_a_cold_readers_turn_comes_before_the_home_of_short_prompts_and_not_of_long_ones():
     desk = Desk(fleet=(entry(READER_A, "reader"), entry(READER_B, "reader"), entry(WRITER_A, "writer")))
-    desk.ask("first", session="p", prompt=4000)
+    desk.ask("first", session="p", prompt_tokens=4000)
     home = desk.sent()[0]
     desk.outcome(Status.MISS, home, "first", after=400 * MS)
     desk.leave("first")
     cold = READER_A + READER_B - home
-    desk.do(api.Fleet((entry(cold, "reader", born=desk.now),), whole=False))
+    desk.do(api.ServerListUpdate((entry(cold, "reader", born=desk.now),), whole=False))
     server = desk.router.servers[cold]
     for prompt, wanted in ((4000, home), (500, cold)):
         server.credit = 1.0
-        desk.ask(f"p{prompt}", session="p", prompt=prompt)
+        desk.ask(f"p{prompt}", session="p", prompt_tokens=prompt)
         assert desk.sent() == [wanted]
         desk.leave(f"p{prompt}")
     assert server.credit < 1, "its turn is over"
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -32,7 +32,7 @@
     for server in desk.router.servers.values():
         server.credit, server.credit_at = -9.0, desk.now
     start = desk.now
-    desk.ask(patience=500 * MS)
+    desk.ask(time_left=500 * MS)
     assert desk.sent() == [] and desk.ends() == []
     desk.run_timers(start + 500 * MS - 2 * MS)
     assert desk.ends() == [api.Refuse]
@@ -66,14 +66,14 @@
 def test_a_client_gone_in_the_same_batch_as_its_end(desk):
     desk.ask()
     desk.run_timers(desk.now + 4 * S)
-    desk.do(api.Gone("r"))
+    desk.do(api.ClientDisconnected("r"))
     assert desk.ends() == [] and desk.sent() == []
 
 
 def test_a_client_gone_while_a_read_is_out_leaves_nothing_held(desk):
     desk.ask()
     reader = desk.sent()[0]
-    desk.do(api.Gone("r"))
+    desk.do(api.ClientDisconnected("r"))
     assert desk.ends() == []
     desk.outcome(Status.MISS, reader)
     assert desk.sent() == [] and desk.of(api.Release) == [api.Release("r")]
@@ -156,7 +156,7 @@
 def test_nothing_is_sent_to_a_server_told_to_drain(state):
     desk = Desk()
     told = entry(READER_A, "reader", 0, state), entry(WRITER_A, "writer", 0, state)
-    desk.do(api.Fleet(told, whole=False))
+    desk.do(api.ServerListUpdate(told, whole=False))
     for number in range(6):
         desk.ask(f"r{number}")
         assert desk.sent() == [READER_B]
@@ -166,7 +166,7 @@
 
 def test_a_server_left_out_of_a_whole_list_is_gone():
     desk = Desk()
-    desk.do(api.Fleet((FLEET[1], FLEET[2]), whole=True))
+    desk.do(api.ServerListUpdate((FLEET[1], FLEET[2]), whole=True))
     desk.ask()
     assert desk.sent() == [READER_B]
 
@@ -176,7 +176,7 @@
     desk.ask()
     reader = desk.sent()[0]
     gone = tuple(entry(s, "writer", c, api.State.DRAINING) for s, c in ((WRITER_A, 0), (WRITER_B, 1)))
-    desk.do(api.Fleet(gone, whole=False))
+    desk.do(api.ServerListUpdate(gone, whole=False))
     desk.outcome(Status.MISS, reader)
     assert desk.sent() == []
 
@@ -192,7 +192,7 @@
     for desk in desks:
         for number in range(400):
             if number == 100:
-                desk.do(api.Fleet((entry(WRITER_B, "writer", 1, born=desk.now),), whole=False))
+                desk.do(api.ServerListUpdate((entry(WRITER_B, "writer", 1, born=desk.now),), whole=False))
                 born = desk.now
             name = f"r{number}"
             desk.ask(name, after=100 * MS)
@@ -223,7 +223,7 @@
     for seed in range(40):
         desk = Desk(seed=seed, routers=40)
         born = desk.now
-        desk.do(api.Fleet((entry(WRITER_B, "writer", 1, born=born),), whole=False))
+        desk.do(api.ServerListUpdate((entry(WRITER_B, "writer", 1, born=born),), whole=False))
         server = desk.router.servers[WRITER_B]
         for tick in range(0, 100, 7):
             desk.router.now = born + tick * 100 * MS
@@ -273,14 +273,14 @@
         api.Outcome("r", 1, WRITER_A, Status.OK, 5, closed=True),
         api.Outcome("x", 0, 999, Status.ERROR, 5),
         api.FirstToken("r", 0, READER_A, 5),
-        api.Gone("x"),
-        api.Timer(10**9),
-        api.Place("r", 0, WRITER_A, True),
-        api.Probed(WRITER_A, Status.OK, 5),
+        api.ClientDisconnected("x"),
+        api.TimerFired(10**9),
+        api.ReservationResult("r", 0, WRITER_A, True),
+        api.ProbeResult(WRITER_A, Status.OK, 5),
         api.PeerMessage(3, b"x"),
         api.Request("y", "no such class", 1, 1, S),
-        api.Fleet((entry(77, "no such kind"),), whole=False),
-        api.Fleet(None, whole=False),
+        api.ServerListUpdate((entry(77, "no such kind"),), whole=False),
+        api.ServerListUpdate(None, whole=False),
     ):
         assert [a for a in desk.do(event) if not isinstance(a, api.SetTimer)] == []
 
@@ -310,9 +310,9 @@
     sends = {server: [] for server in range(100, 104)}
     for moment, number in moments:
         desk = desks[number % 60]
-        if moment >= start + 8 * S and not desk.router.servers[100].entry.born:
+        if moment >= start + 8 * S and not desk.router.servers[100].entry.started_at:
             desk.now = start + 8 * S
-            desk.do(api.Fleet((entry(100, "reader", born=start + 8 * S),), whole=False))
+            desk.do(api.ServerListUpdate((entry(100, "reader", born=start + 8 * S),), whole=False))
         desk.now = moment
         desk.ask(f"r{number}")
         for server in desk.sent():
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -13,7 +13,7 @@
 from hoplane.config import platform
 from hoplane.core.events import Asked, Ended, Left
 from hoplane.core.pacing import Pacing
-from hoplane.decision.interface import KEPT, Status
+from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.fronts.kserve import problem
 from hoplane.fronts.platform import hold_path, read_list
 from hoplane.net import aio
@@ -65,7 +65,7 @@
             while not any(isinstance(each, Ended) for each in ended):
                 await asyncio.sleep(0)
             assert {(each.status, each.note) for each in ended if isinstance(each, Ended)} == {
-                (Status.CONNECT_FAILED, KEPT)
+                (Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
             }
             assert fits(None) and not any(each.errors for each in runtime.state.router.servers.values())
             runtime.feed(Left("q"))
@@ -201,7 +201,9 @@
             await within(told.wait())
             await within(runtime.rest())
             ends = [(each.status, each.note) for each in ended if isinstance(each, Ended)]
-            assert ends[0] == (Status.RESET, KEPT) and (Status.RESET, 0) in ends, "the next were new ones"
+            assert ends[0] == (Status.RESET, SERVER_NOT_AT_FAULT) and (Status.RESET, 0) in ends, (
+                "the next were new ones"
+            )
             assert not pool.connector.keeping
             await pool.close()
 
