--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -214,9 +214,10 @@
 class Outcome:
     """How an attempt ended.
 
-    `detail` depends on the status. OK, MISS: the number of cached tokens that the server found. FULL: 1 if the
-    server had no read state to fetch. RESET, CONNECT_FAILED: SERVER_NOT_AT_FAULT if a kept-alive connection may
-    have been closed as idle, or the send was held back on our side; neither says anything about the server."""
+    `detail` depends on the status. OK, MISS: the number of cached tokens that the server found. FULL: 1 if
+    the server had no read state to fetch. RESET, CONNECT_FAILED: SERVER_NOT_AT_FAULT if a kept-alive
+    connection may have been closed as idle, or the send was held back on our side; neither says anything
+    about the server."""
 
     request_id: str
     attempt: int
