--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -13,7 +13,7 @@
 from typing import TextIO
 
 from hoplane.decision import interface as api
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 
 Fields = dict[str, str]
 
--- a/hoplane/core/figures.py
+++ b/hoplane/core/figures.py
@@ -39,7 +39,7 @@
     unhealthy = 0
     for number, endpoint in state.fleet.items():
         server = servers.get(number)
-        avoided = server is not None and (server.strikes > 0 or now < server.aside_until)
+        avoided = server is not None and (server.consecutive_ejections > 0 or now < server.ejected_until)
         unhealthy += endpoint.state is not State.LIVE or avoided
     figures = state.figures
     return {
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -16,9 +16,9 @@
 from hoplane.core.permits import Denial
 from hoplane.decision import interface as api
 from hoplane.decision.interface import Status
-from hoplane.decision.rules import Router
+from hoplane.decision.peer_messages import PeerReport, Symptom
+from hoplane.decision.router import Router
 from hoplane.decision.state import retune
-from hoplane.decision.words import Symptom, Word
 
 ANSWERED = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
 MAY_HAVE_RUN = (Status.OK, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
@@ -403,7 +403,7 @@
     """Let the module avoid an endpoint, as it does on a peer's word."""
     number = state.numbers.get(event.endpoint)
     if number in state.fleet:
-        yield from decide(state, now, api.PeerMessage(0, Word(Symptom.DOWN, number).pack()))
+        yield from decide(state, now, api.PeerMessage(0, PeerReport(Symptom.DOWN, number).pack()))
 
 
 def on_closing(state: Conductor, now: timedelta, event: ev.Closing) -> Iterator[ev.Effect]:
--- a/hoplane/decision/__init__.py
+++ b/hoplane/decision/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: no I/O, integer nanoseconds."""
+"""The decision module: routing decisions without I/O, in integer nanoseconds."""
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -1,7 +1,7 @@
-"""What goes into the decision module and what comes out: settings, events and actions.
+"""The interface of the decision module: settings, events (its input) and actions (its output).
 
-All times and spans are integer nanoseconds, all lengths are tokens. `None` means "not told".
-Nothing is decided here.
+All times and durations are integer nanoseconds, all lengths are in tokens. `None` means "not known". This
+module holds data only; decisions are made in `router.py`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Role(Enum):
-    """What a kind of server does."""
+    """The work that a kind of server does."""
 
     READ = "read"
     WRITE = "write"
@@ -19,7 +19,7 @@
 
 
 class Effect(Enum):
-    """How far a request may be repeated once it may have run."""
+    """Whether a request may be repeated once it may have run."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -27,7 +27,7 @@
 
 
 class Group(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """The set of servers that discard repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 
 class State(Enum):
-    """What the server list says of a server."""
+    """The state of a server according to the server list."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -53,7 +53,7 @@
     RESET = "reset"
     CANCELLED = "cancelled"
     MOOT = "moot"
-    MISS = "miss"  # the prompt has been read; its state waits at the reader
+    MISS = "miss"  # the prompt has been read; the reader holds its state
 
 
 # --- settings
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KindSettings:
-    """A kind of server."""
+    """A kind of server; `memory` is its capacity in tokens."""
 
     name: str
     role: Role
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """A class of requests."""
+    """A class of requests; `aim` is the target TTFT, `window` the span in which repeats are discarded."""
 
     name: str
     aim: int
@@ -85,13 +85,16 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether it may be refused, and so be sent again by its client, though it may have run."""
+        """Return whether a request may be refused although it may have run.
+
+        A refusal invites the client to send the request again.
+        """
         return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.group is Group.ALL)
 
 
 @dataclass(slots=True, frozen=True)
 class TenantSettings:
-    """A tenant and what it may ask for, over all routers."""
+    """A tenant, and its share and quota over all routers."""
 
     name: str
     share: float | None = None
@@ -100,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a router is told at start."""
+    """The settings that a router is started with."""
 
     kinds: tuple[KindSettings, ...]
     classes: tuple[ClassSettings, ...]
@@ -120,7 +123,7 @@
     writers_read: bool = False
     retry_after: bool = False
     max_retry_after: int | None = None
-    must_subscribe: bool = False  # the server list comes only to routers that subscribe
+    must_subscribe: bool = False  # the server list is sent to subscribed routers only
     far_price: float = 0.0
     probe_price: float = 0.0
     answer_slack: int = 0
@@ -130,11 +133,11 @@
     cold_share: float = 1.0
     fall_multiple: float | None = None
     fall: int = 0
-    waiting_tokens_field: str | None = None  # what load reports call the thousands of prompt tokens that wait
-    held_memory_field: str | None = None  # and the share of its memory that a server holds
+    waiting_tokens_field: str | None = None  # load report field: waiting prompt tokens, in thousands
+    held_memory_field: str | None = None  # load report field: share of the server's memory in use
 
     def __post_init__(self) -> None:
-        """Refuse settings that cannot be."""
+        """Reject inconsistent settings; each error names the setting."""
         if not any(kind.role is not Role.READ for kind in self.kinds):
             raise ValueError("kinds: there is no writer and no mixed kind")
         if not self.classes:
@@ -160,7 +163,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """A line of the server list."""
+    """An entry of the server list; `started_at` is 0 if the start lies long back."""
 
     server: int
     kind: str
@@ -173,7 +176,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerListUpdate:
-    """The server list, whole or what changed of it; `entries` is None where asking for it failed."""
+    """The whole server list, or only the changed entries; `entries` is None if fetching it failed."""
 
     entries: tuple[ServerEntry, ...] | None
     whole: bool
@@ -181,7 +184,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request; one final answer is owed from here on."""
+    """A client's request, which must get exactly one final answer."""
 
     request_id: str
     cls: str
@@ -199,7 +202,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The answer's stream has begun."""
+    """The response stream of an attempt has started."""
 
     request_id: str
     attempt: int
@@ -207,7 +210,7 @@
     elapsed: int
 
 
-SERVER_NOT_AT_FAULT = 1
+SERVER_NOT_AT_FAULT = 1  # value of Outcome.detail
 
 
 @dataclass(slots=True, frozen=True)
@@ -231,7 +234,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationResult:
-    """Whether a place was held, asked for with Reserve."""
+    """The result of a Reserve action."""
 
     request_id: str
     attempt: int
@@ -241,21 +244,21 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected; its request needs no answer."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set with SetTimer is due."""
+    """A timer set with SetTimer has expired."""
 
     timer: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
-    """What came of a Probe."""
+    """The result of a Probe action."""
 
     server: int
     status: Status
@@ -289,7 +292,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send the request to a server; attempts count from 0. `timeout` 0: until the client gives up."""
+    """Send the request to a server; attempts count from 0. `timeout` 0: until the client's deadline."""
 
     request_id: str
     server: int
@@ -298,7 +301,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Hold a place ahead at a writer."""
+    """Reserve memory at a writer while the prompt is still being read."""
 
     request_id: str
     server: int
@@ -306,14 +309,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Let go of every state and place that no attempt waits for."""
+    """Release all read states and reservations of a request that no attempt still needs."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """End the wait for one attempt."""
+    """Stop waiting for an attempt."""
 
     request_id: str
     attempt: int
@@ -321,7 +324,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless. `retry_after` 0: no advice on when."""
+    """Final answer: refused, safe to retry. `retry_after` 0 gives the client no advice on when."""
 
     request_id: str
     retry_after: int = 0
@@ -329,21 +332,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, nothing is promised."""
+    """Final answer: failed; the request may have run."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class EndStream:
-    """End a running stream in good order; its client comes back."""
+    """End a running stream cleanly, so that the client resumes it elsewhere."""
 
     request_id: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired event."""
+    """Request a TimerFired event at a point in time."""
 
     at: int
     timer: int
@@ -351,14 +354,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Probe a server."""
+    """Send a health check to a server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send a message to one router, or to all the others where `to` is None."""
+    """Send a message to one router, or to all others if `to` is None."""
 
     to: int | None
     data: bytes
@@ -371,7 +374,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for operators."""
 
     text: str
 
--- a/hoplane/decision/probes.py
+++ b/hoplane/decision/probes.py
@@ -1,37 +1,42 @@
-"""What a probe's answer tells at this deployment: learnt, as no setting names it. No I/O, no clock."""
+"""Learns what probe timeouts mean in this deployment, as no setting says so. No I/O."""
 
 from __future__ import annotations
 
 from .state import Server
 
-FEW = 20  # answers beside the queue that make good for one time-out at a server that was well
+ANSWERS_PER_FALSE_TIMEOUT = 20  # answers ahead of the queue that make up for one false timeout
 
 
-class Trust:
-    """Learns whether a probe that times out tells a dead server from a busy one.
+class ProbeReliability:
+    """Learns whether a probe timeout means a dead server or a busy one.
 
-    Some servers answer a probe beside their queue, so silence means that they are gone. Others serve it in
-    its turn: then silence is a queue longer than the probe's time-out, and to take all work away from such a
-    server throws away reads that it would have done (where a cancel stops no work, it does them in vain). A
-    time-out was false where the same process shows life later; time-outs count for nothing while false ones
-    are more than one to FEW answers that came while an older request of ours still waited."""
+    Some servers answer probes ahead of their queue, so that a timeout means failure. Others answer in queue
+    order: a timeout then means that the queue is longer than the probe's timeout. Taking all work away from
+    such a server discards reads that it would have done, or does in vain where cancelling stops no work.
+
+    A timeout was false if the same server process shows activity later. Timeouts are ignored while there is
+    more than one false timeout per ANSWERS_PER_FALSE_TIMEOUT answers that came while an older request was
+    waiting.
+    """
 
     def __init__(self) -> None:
-        self.beside = 0  # answers that came before an older request of ours
-        self.false = 0  # time-outs at servers that were well
-
-    def heeds(self, server: Server) -> bool:
-        """Note a probe that timed out; tell whether it is to be heeded."""
-        server.missed = server.entry.started_at
-        return self.beside >= FEW * self.false
-
-    def shows(self, server: Server) -> None:
-        """Note a sign of life."""
-        self.false += server.missed == server.entry.started_at
-        server.missed = None
-
-    def answered(self, server: Server) -> None:
-        """Note a probe that was answered; it was sent after any request that still waits."""
-        self.shows(server)
-        oldest = server.oldest
-        self.beside += oldest is not None and oldest.sent < server.probed
+        self.answers_while_busy = 0  # answers that came before that to an older request of ours
+        self.false_timeouts = 0  # timeouts of servers that turned out to be alive
+
+    def record_timeout(self, server: Server) -> bool:
+        """Record a probe timeout; return whether it counts as a failure of the server."""
+        server.timed_out_process = server.entry.started_at
+        return self.answers_while_busy >= ANSWERS_PER_FALSE_TIMEOUT * self.false_timeouts
+
+    def confirm_alive(self, server: Server) -> None:
+        """Record activity of a server."""
+        self.false_timeouts += server.timed_out_process == server.entry.started_at
+        server.timed_out_process = None
+
+    def record_answer(self, server: Server) -> None:
+        """Record the answer to a probe, which was sent after any request that is still waiting."""
+        self.confirm_alive(server)
+        oldest_waiting = server.oldest_waiting
+        self.answers_while_busy += (
+            oldest_waiting is not None and oldest_waiting.sent_at < server.last_probe_at
+        )
--- /dev/null
+++ b/hoplane/decision/slow_start.py
@@ -0,0 +1,54 @@
+"""Slow start: which share of the work one of many routers may send to a cold server. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from .interface import Settings
+from .state import DecayingCounter, Server
+
+SAFETY_FACTOR = 0.8  # share used of the load that a cold server must stand, over all routers
+
+
+class SlowStart:
+    """Accrues slow-start credit for cold servers over time, in proportion to the current load.
+
+    Credit starts at a random value, so that routers do not send at the same moment. As servers warm up by the
+    work they do, credit accrues during congestion too, when a returning server would otherwise stay idle. The
+    cost is that a server that warms up late gets work too early.
+    """
+
+    def __init__(self, span: int) -> None:
+        self.span, self.arrivals = span, DecayingCounter(span)  # arrivals leave out retries
+        # Hooks, set from outside if the fleet shares a budget for each cold server. They take the server id.
+        # `may_send` returns whether one more send fits the budget, or None to use the credit kept here.
+        self.may_send: Callable[[int], bool | None] = lambda server: None
+        self.reserve_send: Callable[[int], None] = lambda server: None
+
+    def allows_send(
+        self, server: Server, now: int, settings: Settings, recent_sends: DecayingCounter, role_size: int
+    ) -> bool:
+        """Return whether a server is warm, or cold with a full credit.
+
+        `recent_sends` counts the sends to the server's role, `role_size` the servers of that role. Credit
+        accrues with the larger of recent sends and client arrivals: if a whole role returns cold, its sends
+        have fallen to nothing, and credit by sends alone would keep them there. Retries do not count as
+        arrivals, as each refusal would add credit. The current request does not count either: where each of
+        many routers sees few requests, it would count twice.
+        """
+        if server.warmup_progress(now, settings.cold) == 1 or not settings.fall_multiple:
+            return True
+        if (may_send := self.may_send(server.entry.server)) is not None:
+            return may_send
+        work = max(1.0, recent_sends.add(now, 0), self.arrivals.add(now, 0) - 1)
+        share = SAFETY_FACTOR * min(1.0, settings.cold_share * settings.fall_multiple) / role_size
+        earned = (now - server.credit_updated_at) * work / self.span * share
+        server.credit, server.credit_updated_at = min(1.0, (server.credit or 0.0) + earned), now
+        return server.credit == 1
+
+    @staticmethod
+    def all_cold(servers: Iterable[Server], now: int, settings: Settings) -> bool:
+        """Return whether every server is cold, so that credit is needed before work for one starts."""
+        return bool(settings.fall_multiple) and all(
+            server.warmup_progress(now, settings.cold) < 1 for server in servers
+        )
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -21,7 +21,7 @@
 from hoplane.core.permits import Denial
 from hoplane.core.reducer import Conductor, steps
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 from hoplane.net.aio import Spoilt, Stale
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Drained, Pool, Sending, failed_here
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -60,9 +60,9 @@
     def join(self, runtime: Runtime) -> None:
         """Put a conductor's cold endpoints under the fleet's budgets, and hear of its failures."""
         self.joined.add(id(runtime))
-        turns = runtime.state.router.turns
-        turns.fits = lambda server: self.purse(runtime, server).may_spend(self.now())
-        turns.book = lambda server: self.book(runtime, server)
+        turns = runtime.state.router.slow_start
+        turns.may_send = lambda server: self.purse(runtime, server).may_spend(self.now())
+        turns.reserve_send = lambda server: self.book(runtime, server)
         runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
         runtime.heed = self.heed
 
@@ -87,7 +87,7 @@
     @staticmethod
     def cold(runtime: Runtime, server: int) -> bool:
         known, now = runtime.state.router.servers.get(server), to_ns(runtime.clock.now())
-        return known is not None and known.warmth(now, runtime.state.settings.cold) < 1
+        return known is not None and known.warmup_progress(now, runtime.state.settings.cold) < 1
 
     def heed(self, endpoint: str, status: Status) -> None:
         if status in FAILURES:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from hoplane.decision import interface as api
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 
 KNOWN_RED, KNOWN_MOST = Path(__file__).parent.parent / "KNOWN-RED.txt", 3
 
@@ -109,9 +109,9 @@
 
     def leave(self, request):
         """The client leaves, and what was out for it is cancelled."""
-        out = [(a.index, a.server.entry.server) for a in self.router.jobs[request].out]
+        in_flight = [(a.index, a.server.entry.server) for a in self.router.jobs[request].in_flight]
         self.do(api.ClientDisconnected(request))
-        for attempt, server in out:
+        for attempt, server in in_flight:
             self.outcome(api.Status.CANCELLED, server, request, attempt, after=0)
 
     def run_timers(self, until):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -11,7 +11,7 @@
 from hoplane.core.reducer import Conductor, Held, reduce
 from hoplane.decision import interface as api
 from hoplane.decision.interface import State, Status
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 
 MS, SECOND = timedelta(milliseconds=1), timedelta(seconds=1)
 SETTINGS = api.Settings(
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -167,7 +167,7 @@
     desk = stuck(api.Effect.SAFE)
     desk.run_timers(desk.now + S)
     assert desk.of(api.Cancel) == [api.Cancel("lost", 1)]
-    assert desk.router.servers[WRITER_A] in desk.router.usable((api.Role.WRITE,))
+    assert desk.router.servers[WRITER_A] in desk.router.available_servers((api.Role.WRITE,))
 
 
 def test_an_unsafe_request_at_a_silent_writer_is_left_to_wait():
@@ -183,7 +183,7 @@
     for number in range(40):
         desk.ask(f"r{number}", prefix=f"p{number}")
     desk.run_timers(desk.now + S)
-    aside = [s for s in desk.router.servers.values() if s.aside_until > desk.now]
+    aside = [s for s in desk.router.servers.values() if s.ejected_until > desk.now]
     assert 0 < len(aside) <= 2
 
 
@@ -191,7 +191,7 @@
     desk = Desk(writers_read=False)
     for number in range(6):
         desk.ask(f"r{number}")
-    waiting = {f"r{n}": desk.router.jobs[f"r{n}"].out[0].server.entry.server for n in range(6)}
+    waiting = {f"r{n}": desk.router.jobs[f"r{n}"].in_flight[0].server.entry.server for n in range(6)}
     for request, reader in waiting.items():
         desk.do(api.ClientDisconnected(request))
         desk.do(api.Outcome(request, 0, reader, Status.CANCELLED, 2 * S))
@@ -215,10 +215,10 @@
 def test_with_every_writer_set_aside_beyond_its_aim_a_request_ends_at_once_and_is_told_when_to_return():
     desk = Desk(retry_after=True, max_retry_after=3 * S)
     for writer, span in ((WRITER_A, 5 * S), (WRITER_B, 2 * S)):
-        desk.router.servers[writer].aside_until = desk.now + span
+        desk.router.servers[writer].ejected_until = desk.now + span
     desk.ask()
     assert [a.retry_after for a in desk.of(api.Refuse)] == [2 * S]
-    desk.router.servers[WRITER_B].aside_until = desk.now + 9 * S
+    desk.router.servers[WRITER_B].ejected_until = desk.now + 9 * S
     desk.ask("r2")
     assert [a.retry_after for a in desk.of(api.Refuse)] == [3 * S]  # as long as clients heed
 
@@ -226,7 +226,7 @@
 def test_with_every_writer_back_before_it_is_late_a_request_waits():
     desk = Desk(fleet=FLEET[2:])
     for writer in (WRITER_A, WRITER_B):
-        desk.router.servers[writer].aside_until = desk.now + 100 * MS
+        desk.router.servers[writer].ejected_until = desk.now + 100 * MS
     desk.ask()
     assert desk.sent() == [] and desk.ends() == []
     desk.run_timers(desk.now + 200 * MS)
@@ -254,13 +254,13 @@
 def jam(desk, wait):
     """Let both readers have shown a wait just now."""
     for reader in (READER_A, READER_B):
-        desk.router.servers[reader].lag = wait
-        desk.router.servers[reader].lag_at = desk.now
+        desk.router.servers[reader].queue_delay = wait
+        desk.router.servers[reader].queue_delay_at = desk.now
 
 
 def jammed(**changes):
     desk = Desk(**changes)
-    desk.router.prompts.value = 10_000.0
+    desk.router.mean_prompt_tokens.value = 10_000.0
     jam(desk, 2 * S)
     return desk
 
@@ -274,8 +274,8 @@
 def test_where_readers_and_writers_jam_new_requests_are_refused_at_once():
     desk = jammed()
     for writer in (WRITER_A, WRITER_B):
-        desk.router.servers[writer].lag = 2 * S
-        desk.router.servers[writer].lag_at = desk.now
+        desk.router.servers[writer].queue_delay = 2 * S
+        desk.router.servers[writer].queue_delay_at = desk.now
     desk.ask("r2")
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
 
@@ -287,7 +287,7 @@
         for number in range(30):
             desk.serve(f"r{number}", tenant=tenant)
         jam(desk, 500 * MS)
-        desk.router.asked[tenant].add(desk.now, 30)
+        desk.router.tenant_arrivals[tenant].add(desk.now, 30)
         desk.ask("r", tenant=tenant)
         ends[tenant] = desk.ends()
     assert ends == {"small": [api.Refuse], "large": []}
@@ -324,21 +324,21 @@
 
 def test_a_mixed_server_has_a_smaller_part_of_the_ring_than_a_reader():
     ring = Desk(fleet=(*FLEET, entry(31, "mixed"))).router.ring
-    points = [server.entry.server for _, server in ring.points]
-    assert 0 < points.count(31) < points.count(READER_A)
+    virtual_nodes = [server.entry.server for _, server in ring.virtual_nodes]
+    assert 0 < virtual_nodes.count(31) < virtual_nodes.count(READER_A)
 
 
 def test_a_full_writer_is_passed_over_for_another_cell(desk):
     desk.ask()
     reader = desk.sent()[0]
     near = {READER_A: WRITER_A, READER_B: WRITER_B}[reader]
-    desk.router.servers[near].held = 300_000
+    desk.router.servers[near].committed_tokens = 300_000
     desk.outcome(Status.MISS, reader)
     assert desk.sent() == [WRITER_A + WRITER_B - near]
 
 
 def test_where_every_reader_is_dead_none_is_tried_again_and_a_writer_reads(desk):
-    desk.router.prompts.value = 10_000.0
+    desk.router.mean_prompt_tokens.value = 10_000.0
     first = home(desk)
     desk.outcome(Status.CONNECT_FAILED, first, "probe", after=200 * MS)
     desk.outcome(Status.CONNECT_FAILED, READER_A + READER_B - first, "probe", 1, after=200 * MS)
@@ -350,12 +350,14 @@
     desk.outcome(Status.CONNECT_FAILED, first, "probe", after=200 * MS)
     cell = {READER_A: 0, READER_B: 1}[first]
     desk.do(api.ServerListUpdate((entry(first, "reader", cell, born=desk.now - 20 * S),), whole=False))
-    assert desk.router.servers[first] in desk.router.usable((api.Role.READ,))
+    assert desk.router.servers[first] in desk.router.available_servers((api.Role.READ,))
 
 
 def test_a_request_that_no_server_takes_is_refused_at_once_when_it_would_be_late():
     desk = Desk(writers_read=False)
-    desk.router.servers[READER_A].aside_until = desk.router.servers[READER_B].aside_until = desk.now + 9 * S
+    desk.router.servers[READER_A].ejected_until = desk.router.servers[READER_B].ejected_until = (
+        desk.now + 9 * S
+    )
     desk.ask()
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
 
@@ -375,17 +377,17 @@
     desk.outcome(Status.MISS, desk.sent()[0], "r2")
     writer = desk.sent()[0]
     desk.first(writer, "r2", after=S)
-    assert desk.router.delay(desk.router.servers[writer]) > S // 2
+    assert desk.router.expected_delay(desk.router.servers[writer]) > S // 2
     desk.outcome(Status.OK, writer, "r2", 1, after=9 * S, closed=True)
-    assert desk.router.delay(desk.router.servers[writer]) == 0
+    assert desk.router.expected_delay(desk.router.servers[writer]) == 0
 
 
 def test_a_read_quicker_than_guessed_leaves_no_wait_at_any_time(desk):
     server = desk.router.servers[READER_A]
-    server.lag, server.lag_at = -300 * MS, desk.now
+    server.queue_delay, server.queue_delay_at = -300 * MS, desk.now
     for after in (0, S, 20 * S, 2000 * S):
         desk.router.now = desk.now + after
-        assert desk.router.delay(server) == 0
+        assert desk.router.expected_delay(server) == 0
 
 
 def test_full_for_one_tenant_leaves_the_server_to_the_others():
@@ -404,9 +406,9 @@
 def test_a_read_given_up_on_makes_the_next_silence_longer():
     desk = Desk(fleet=MANY_READERS)
     home(desk)
-    before = desk.router.stage[True].value or 0
+    before = desk.router.stage_times[True].value or 0
     desk.run_timers(desk.now + 2 * S)
-    assert desk.router.stage[True].value > before + S // 2
+    assert desk.router.stage_times[True].value > before + S // 2
 
 
 def test_only_a_short_prompt_is_read_by_a_writer():
@@ -419,7 +421,7 @@
     desk.leave("longer")
     desk.ask("long", prompt_tokens=15_000)
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
-    desk.router.places.add(desk.now, False)
+    desk.router.reservations.add(desk.now, False)
     desk.ask("too long now", prompt_tokens=9_000)
     assert desk.sent() == [] and desk.ends() == [api.Refuse]
 
@@ -461,7 +463,7 @@
 
 def test_where_no_places_are_held_of_late_no_writer_reads_for_jammed_readers():
     desk = crowded()
-    desk.router.prompts.value = 10_000.0
+    desk.router.mean_prompt_tokens.value = 10_000.0
     jam(desk, 2 * S)
     desk.ask("short")
     assert desk.sent() == []
@@ -471,7 +473,7 @@
     desk, reader, writer = ahead()
     desk.do(api.ReservationResult("r", 0, reader, reserved=True))
     assert desk.of(api.Reserve) == []
-    desk.router.servers[writer].held = 10**6  # what we think of it no longer counts
+    desk.router.servers[writer].committed_tokens = 10**6  # what we think of it no longer counts
     desk.outcome(Status.MISS, reader)
     assert desk.sent() == [writer]
 
@@ -501,7 +503,7 @@
 
 def test_a_place_or_probe_that_nobody_asked_for_does_no_harm(desk):
     desk.ask()
-    before = desk.router.jobs["r"].out
+    before = desk.router.jobs["r"].in_flight
     for event in (
         api.ReservationResult("r", 0, before[0].server.entry.server, reserved=True),
         api.ReservationResult("x", 3, WRITER_A, reserved=False),
@@ -512,7 +514,7 @@
         api.PeerMessage(-1, b"v9:" + bytes(250)),
     ):
         assert desk.do(event) == []
-    assert desk.router.jobs["r"].place is None and desk.router.jobs["r"].out == before
+    assert desk.router.jobs["r"].reserved_server is None and desk.router.jobs["r"].in_flight == before
 
 
 def down_reader(**changes):
@@ -553,7 +555,7 @@
     other.ask("theirs", tenant="small", session="r")
     other.ask("others", tenant="large", session="r")
     assert other.sent() == [reader]
-    assert [a.server.entry.server for a in other.router.jobs["theirs"].out] != [reader]
+    assert [a.server.entry.server for a in other.router.jobs["theirs"].in_flight] != [reader]
     for request in ("theirs", "others"):
         other.leave(request)
     other.ask("after", tenant="small", session="r", after=10 * S)
@@ -575,12 +577,12 @@
     free = home(desk)
     desk.outcome(Status.MISS, free, "probe")
     desk.leave("probe")
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     for reader in (s for s in desk.router.live((api.Role.READ,)) if s.entry.server != free):
-        reader.lag, reader.lag_at = 3 * S, desk.now
+        reader.queue_delay, reader.queue_delay_at = 3 * S, desk.now
     desk.ask("r1", session="p")
     assert desk.sent() == [free], "the others' waits are none of its own"
-    desk.router.servers[free].out["r1", 0].unread = 30_000
+    desk.router.servers[free].in_flight["r1", 0].unread_tokens = 30_000
     desk.ask("r2", session="p")
     assert desk.sent() == [] and desk.ends() == [api.Refuse], "three seconds' tokens wait at each reader now"
 
@@ -592,15 +594,17 @@
         desk.serve(prefix, prompt_tokens=5000, prefix=prefix, prefix_len=4000)
     desk.ask("kept", session="n1", prompt_tokens=5000, prefix="a", prefix_len=4000)
     desk.ask("next", session="n2", prompt_tokens=5000, prefix="b", prefix_len=4000)
-    assert reader.waiting == 2000
+    assert reader.queued_tokens == 2000
     desk.outcome(Status.MISS, READER_A, "kept", detail=4000)
-    assert reader.waiting == 1000, "what was kept as thought tells of no loss"
+    assert reader.queued_tokens == 1000, "what was kept as thought tells of no loss"
     desk.ask("lost", session="n3", prompt_tokens=5000, prefix="a", prefix_len=4000)
     desk.outcome(Status.MISS, READER_A, "lost", detail=0)
-    assert reader.waiting == 5000 and list(reader.prefixes) == ["a"], "only what was read anew is there"
+    assert reader.queued_tokens == 5000 and list(reader.cached_prefixes) == ["a"], (
+        "only what was read anew is there"
+    )
     desk.outcome(Status.MISS, READER_A, "next", detail=0)
     desk.ask("turn", session="b", prompt_tokens=6000)
-    assert desk.router.unread(desk.router.jobs["turn"], reader) == 6000, "and of earlier turns"
+    assert desk.router.unread_tokens(desk.router.jobs["turn"], reader) == 6000, "and of earlier turns"
 
 
 def silent(**changes):
@@ -695,7 +699,7 @@
         desk = Desk(writers_read=False)
         desk.serve("before")
         for _ in range(jammed_for):
-            desk.router.jam.add(0.6, 0.03)
+            desk.router.congestion.add(0.6, 0.03)
         jam(desk, 600 * MS)
         desk.ask("r")
         ends[jammed_for] = desk.ends()
@@ -712,7 +716,7 @@
 def test_a_read_that_others_have_passed_has_the_time_of_all_before_it():
     desk = Desk(fleet=(entry(READER_A, "reader"), *FLEET[2:]), writers_read=False)
     desk.serve("before", prompt_tokens=1000)
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     desk.ask("lost", prompt_tokens=5000, time_left=60 * S)
     desk.ask("later", prompt_tokens=100, after=300 * MS)
     desk.outcome(Status.MISS, READER_A, "later")
--- a/tests/test_learned.py
+++ b/tests/test_learned.py
@@ -7,7 +7,7 @@
 
 from hoplane.decision import interface as api
 from hoplane.decision.interface import Status
-from hoplane.decision.places import Places
+from hoplane.decision.reservations import ReservationTracker
 
 ONE_READER = (entry(READER_A, "reader"), *FLEET[2:])
 
@@ -15,7 +15,7 @@
 def restarted(**changes):
     """Give a router that has just started, at a reader that reads 10,000 tokens a second."""
     desk = Desk(fleet=ONE_READER, **changes)
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     return desk
 
 
@@ -34,7 +34,7 @@
         desk.ask(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
         desk.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         desk.leave(f"r{number}")
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     assert burst(desk) == 0, "600 tokens, not 18,000"
 
 
@@ -53,7 +53,7 @@
         desk.ask(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
         desk.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         desk.leave(f"r{number}")
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     assert burst(desk) > 0
 
 
@@ -102,24 +102,26 @@
     assert unheard(desk)
     desk.do(api.ServerListUpdate((entry(READER_A, "reader", born=desk.now),), whole=False))
     desk.do(api.ProbeResult(READER_A, Status.OK, MS), after=9 * S)
-    assert desk.router.trust.false == 0
+    assert desk.router.probe_reliability.false_timeouts == 0
 
 
 def test_a_place_is_asked_for_seldom_where_it_is_dear_and_always_where_writers_fill():
-    places, rng = Places(5 * S), Random(1)
-    assert all(places.wanted(0, 0.003, rng) for _ in range(100))
-    assert 5 < sum(places.wanted(0, 0.0073, rng) for _ in range(100)) < 30
+    reservations, rng = ReservationTracker(5 * S), Random(1)
+    assert all(reservations.should_reserve(0, 0.003, rng) for _ in range(100))
+    assert 5 < sum(reservations.should_reserve(0, 0.0073, rng) for _ in range(100)) < 30
     for _ in range(3):
-        places.add(0, held=False)
-    assert all(places.wanted(0, 0.0073, rng) for _ in range(100))
-    assert not all(places.wanted(6 * S, 0.0073, rng) for _ in range(100)), "what was asked fades"
+        reservations.add(0, reserved=False)
+    assert all(reservations.should_reserve(0, 0.0073, rng) for _ in range(100))
+    assert not all(reservations.should_reserve(6 * S, 0.0073, rng) for _ in range(100)), (
+        "what was asked fades"
+    )
 
 
 @pytest.mark.parametrize(("retry", "ends"), [(False, [api.Refuse]), (True, [])])
 def test_a_tenants_marked_repeats_do_not_take_it_over_its_share(retry, ends):
     desk = restarted(tenants=(api.TenantSettings("t", 0.5, 3.0),))
     desk.serve("warm", tenant="t", prompt_tokens=100)
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     for number in range(40):  # over 5 s, of 15 that are within the share
         desk.ask(f"r{number}", prompt_tokens=10, tenant="t", retry=retry)
         desk.leave(f"r{number}")
@@ -131,7 +133,7 @@
 def test_a_tenant_is_not_over_its_share_by_chance():
     desk = restarted(tenants=(api.TenantSettings("t", 0.5, 3.0),))
     desk.serve("warm", tenant="t", prompt_tokens=100)
-    desk.router.speed = 10_000.0
+    desk.router.read_speed = 10_000.0
     for number in range(17):
         desk.ask(f"r{number}", prompt_tokens=10, tenant="t")
         desk.leave(f"r{number}")
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -8,16 +8,16 @@
 from conftest import FLEET, MS, READER_A, READER_B, WRITER_A, WRITER_B, Desk, S, entry
 
 from hoplane.decision import interface as api
-from hoplane.decision import rules
+from hoplane.decision import router
 from hoplane.decision.interface import Status
-from hoplane.decision.state import Mean
+from hoplane.decision.state import MovingAverage
 
 LATER = {"prompt_tokens": 4000, "prefix_len": 3500, "session": "s", "prefix": "p"}
 
 
 @pytest.fixture(autouse=True)
 def no_remote_share(monkeypatch):
-    monkeypatch.setattr(rules, "REMOTE_SHARE", 0.0)
+    monkeypatch.setattr(router, "REMOTE_EXPLORATION_SHARE", 0.0)
 
 
 def with_row(**changes):
@@ -30,8 +30,14 @@
     for long in (0, 1):
         for heavy in (0, 1):
             for load in (0, 1):
-                desk.router.cells[(long, heavy, load), True] = (Mean(local[0]), Mean(local[1]))
-                desk.router.cells[(long, heavy, load), False] = (Mean(remote[0]), Mean(remote[1]))
+                desk.router.path_averages_by_bucket[(long, heavy, load), True] = (
+                    MovingAverage(local[0]),
+                    MovingAverage(local[1]),
+                )
+                desk.router.path_averages_by_bucket[(long, heavy, load), False] = (
+                    MovingAverage(remote[0]),
+                    MovingAverage(remote[1]),
+                )
 
 
 def test_a_first_turn_passes_through_a_reader(desk):
@@ -48,14 +54,14 @@
 
 def test_a_later_turn_in_an_empty_cell_with_few_new_tokens_is_local():
     desk, writer = with_row()
-    desk.router.cells.clear()
+    desk.router.path_averages_by_bucket.clear()
     desk.ask("r2", **LATER)
     assert desk.sent() == [writer]
 
 
 def test_a_later_turn_in_an_empty_cell_with_many_new_tokens_is_remote():
     desk, _ = with_row()
-    desk.router.cells.clear()
+    desk.router.path_averages_by_bucket.clear()
     desk.ask("r2", **{**LATER, "prompt_tokens": 20_000, "prefix_len": 17_000})
     assert desk.sent()[0] in (READER_A, READER_B)
 
@@ -92,7 +98,7 @@
 def test_a_small_share_goes_remote_all_the_same(monkeypatch):
     desk, _ = with_row()
     fill(desk, (50 * MS, 10 * MS), (100 * MS, 10 * MS))
-    monkeypatch.setattr(rules, "REMOTE_SHARE", 1.0)
+    monkeypatch.setattr(router, "REMOTE_EXPLORATION_SHARE", 1.0)
     desk.ask("r2", **LATER)
     assert desk.sent()[0] in (READER_A, READER_B)
 
@@ -101,13 +107,13 @@
     desk, _ = with_row()
     desk.ask("x", after=121 * S)
     desk.run_timers(desk.now + 100 * MS)
-    assert "s" not in desk.router.rows
+    assert "s" not in desk.router.sessions
 
 
 def test_a_row_without_a_session_is_kept_by_prefix():
     desk = Desk()
     writer = desk.serve("r1", **{**LATER, "session": None})
-    assert desk.router.rows["p"].writer == writer
+    assert desk.router.sessions["p"].writer == writer
 
 
 def test_answers_feed_both_averages_of_the_path_they_took():
@@ -117,7 +123,7 @@
     writer = desk.sent()[0]
     desk.first(writer, "r1", after=20 * MS)
     desk.outcome(Status.OK, writer, "r1", 1, after=2 * S, closed=True)
-    ((key, (ttft, pace)),) = desk.router.cells.items()
+    ((key, (ttft, pace)),) = desk.router.path_averages_by_bucket.items()
     assert key[1] is False and ttft.value == 50 * MS and pace.value == 2 * S / 200
 
 
@@ -134,7 +140,7 @@
 def test_a_home_past_its_bound_spills_in_ring_order():
     fleet = tuple(entry(100 + n, "reader") for n in range(4)) + FLEET[2:]
     desk = Desk(fleet=fleet, retry_after=True)  # so that the guess of what is unread stays at the worst case
-    desk.router.speed = 10_000.0  # half the aim: 5,000 tokens
+    desk.router.read_speed = 10_000.0  # half the aim: 5,000 tokens
     order = [server.entry.server for server in desk.router.ring.walk("p7")]
     sent = []
     for number in range(7):
@@ -146,9 +152,9 @@
 def test_a_session_goes_back_to_the_reader_that_read_it():
     desk = Desk()
     desk.serve("r1", session="s", prefix="p")
-    reader = desk.router.rows["s"].reader
+    reader = desk.router.sessions["s"].reader
     other = READER_A + READER_B - reader
-    desk.router.rows["s"].reader = other
+    desk.router.sessions["s"].reader = other
     desk.ask("r2", session="s", prefix="p")
     assert desk.sent() == [other]
 
@@ -159,8 +165,8 @@
     assert desk.sent() == [writer]
     desk.first(writer, "r2", 0)
     desk.outcome(Status.OK, writer, "r2", 0, after=S, closed=True, detail=0)
-    desk.router.rows["old"] = desk.router.rows["s"]
-    desk.router.rows["old"].at -= 2 * S
+    desk.router.sessions["old"] = desk.router.sessions["s"]
+    desk.router.sessions["old"].updated_at -= 2 * S
     desk.ask("r3", **{**LATER, "session": "old"})
     assert desk.sent()[0] in (READER_A, READER_B)
 
@@ -235,9 +241,9 @@
         *(entry(210 + n, "writer", 1) for n in range(3)),
     )
     ring = Desk(fleet=fleet).router.ring
-    points = [server.entry.server for _, server in ring.points]
-    assert points.count(100) * 2 == points.count(110)
-    assert 200 not in points
+    virtual_nodes = [server.entry.server for _, server in ring.virtual_nodes]
+    assert virtual_nodes.count(100) * 2 == virtual_nodes.count(110)
+    assert 200 not in virtual_nodes
 
 
 def test_equal_writers_are_not_chosen_alike_by_all_routers():
--- a/tests/test_odd_settings.py
+++ b/tests/test_odd_settings.py
@@ -9,7 +9,7 @@
 
 from hoplane.config import ConfigError, platform
 from hoplane.core.pacing import Pacing
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 
 TOLD = {
     **SETTINGS,
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -46,7 +46,7 @@
     desk.ask()
     reader = desk.sent()[0]
     desk.outcome(Status.MISS, reader, load={"x1": 7.5, "x0": 0.25})
-    assert desk.router.servers[reader].told_held == 0.25
+    assert desk.router.servers[reader].reported_memory_share == 0.25
 
 
 def test_a_cold_readers_turn_comes_before_the_home_of_short_prompts_and_not_of_long_ones():
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -110,7 +110,9 @@
     core.ask("new", cls="once")
     assert not core.read("new").once, "one taken after has the new effect"
     assert core.state.requests["new"].cap == 2 and core.state.requests["old"].cap is None
-    assert core.state.router.jobs["new"].cap == 2 and core.state.router.jobs["old"].cap is None
+    assert (
+        core.state.router.jobs["new"].max_attempts == 2 and core.state.router.jobs["old"].max_attempts is None
+    )
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
--- a/tests/test_rules_kept.py
+++ b/tests/test_rules_kept.py
@@ -30,7 +30,7 @@
 def test_a_deadline_with_none_out_ends_the_request_in_time():
     desk = Desk(fleet=[entry(s.server, s.kind, s.cell, born=999 * S) for s in FLEET])  # all cold
     for server in desk.router.servers.values():
-        server.credit, server.credit_at = -9.0, desk.now
+        server.credit, server.credit_updated_at = -9.0, desk.now
     start = desk.now
     desk.ask(time_left=500 * MS)
     assert desk.sent() == [] and desk.ends() == []
@@ -214,7 +214,7 @@
     for number in range(5):
         desk.ask(f"r{number}")
         desk.outcome(Status.MISS, READER_A, f"r{number}", after=MS)
-    assert sum(len(s.out) for s in desk.router.servers.values() if s.entry.server == WRITER_A) <= 1
+    assert sum(len(s.in_flight) for s in desk.router.servers.values() if s.entry.server == WRITER_A) <= 1
 
 
 def test_a_cold_servers_turns_come_at_its_rate_however_seldom_it_is_thought_of():
@@ -227,8 +227,8 @@
         server = desk.router.servers[WRITER_B]
         for tick in range(0, 100, 7):
             desk.router.now = born + tick * 100 * MS
-            desk.router.sends[False].add(desk.router.now, 0.7)  # one a second
-            if desk.router.cold_room(server):
+            desk.router.recent_sends[False].add(desk.router.now, 0.7)  # one a second
+            if desk.router.slow_start_allows(server):
                 server.credit = 0.0
                 taken += 1
     mean = 40 * 0.5  # a second, of a warm writer
@@ -242,7 +242,7 @@
     desk = Desk(writers_read=False)
     desk.ask()
     for writer in (WRITER_A, WRITER_B):
-        desk.router.servers[writer].aside_until = desk.now + 700 * MS  # back before it would be late
+        desk.router.servers[writer].ejected_until = desk.now + 700 * MS  # back before it would be late
     desk.outcome(Status.MISS, desk.sent()[0])
     assert desk.sent() == [] and desk.ends() == []
     start = desk.now
@@ -330,4 +330,4 @@
     reader = desk.router.servers[READER_A]
     for number in range(3000):
         desk.serve(f"r{number}", prefix=f"p{number}", prefix_len=1000)
-    assert len(reader.prefixes) < 200 and len(desk.router.servers[READER_B].prefixes) < 200
+    assert len(reader.cached_prefixes) < 200 and len(desk.router.servers[READER_B].cached_prefixes) < 200
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -67,7 +67,9 @@
             assert {(each.status, each.note) for each in ended if isinstance(each, Ended)} == {
                 (Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
             }
-            assert fits(None) and not any(each.errors for each in runtime.state.router.servers.values())
+            assert fits(None) and not any(
+                each.consecutive_errors for each in runtime.state.router.servers.values()
+            )
             runtime.feed(Left("q"))
             await within(runtime.rest())
             assert not reader.named("POST") and not writer.named("POST")
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -11,7 +11,7 @@
 from hoplane.core.ledger import Ledger
 from hoplane.core.reducer import Conductor, reduce
 from hoplane.decision import interface as api
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 from hoplane.fronts.platform import read_asked
 from hoplane.net.server import advice
 
