--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -61,9 +61,9 @@
         """Give this process's part in what the fleet does together, beside the request path."""
         parts = []
         if self.config.lease:
-            from hoplane.lease.watchman import Watchman
+            from hoplane.lease.health_check_task import HealthCheckTask
 
-            parts.append(Watchman(self.config, self.endpoints))
+            parts.append(HealthCheckTask(self.config, self.endpoints))
         if self.config.shared:
             from hoplane.shared.member import Member
 
@@ -199,7 +199,7 @@
             part.start()
         await stop.wait()
         for part in self.beside_path:
-            await part.leave()
+            await part.begin_shutdown()
         log.say("stopping", open=self.front.server.open)
         await self.front.server.stop()
         if self.operator:
--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -17,9 +17,9 @@
 from hoplane.decision.interface import Settings
 
 if TYPE_CHECKING:  # a file of ours loads them, the platform's run does not: half of a start is loading
-    from hoplane.lease.choice import Terms
-    from hoplane.shared.escrow import Budget
-    from hoplane.shared.verdicts import Rule
+    from hoplane.lease.state_machine import LeaseTerms
+    from hoplane.shared.budget import Budget
+    from hoplane.shared.outlier_detection import OutlierRule
 
 MEGABYTE = 1 << 20
 MOST = 10**18  # of any number that is told: 30 years in nanoseconds
@@ -107,7 +107,7 @@
 
     engine: tuple[str, ...]  # HOST:PORT of the engine's members
     key: str
-    terms: Terms
+    terms: LeaseTerms
     call: timedelta  # how long a call to the engine may take
     every: timedelta  # between two rounds of the patrol
     clock_rate: float = 1.0  # for drills: how fast this process's clock runs
@@ -118,11 +118,11 @@
     """What the conductors of a fleet share, see docs/shared.md."""
 
     engine: tuple[str, ...]
-    terms: Terms
+    terms: LeaseTerms
     call: timedelta
     every: timedelta  # between two rounds at the engine
     cold: Budget  # of sends to each cold endpoint, by all conductors
-    rule: Rule
+    rule: OutlierRule
     clock_rate: float = 1.0
 
 
@@ -249,20 +249,20 @@
 
 def lease(raw: dict) -> Lease:
     """Check the lease's part of a file of ours."""
-    from hoplane.lease.choice import Terms
+    from hoplane.lease.state_machine import LeaseTerms
 
     engine = members(raw, LEASE_KEYS, "lease.")
     call = milliseconds(raw, "call_ms", 500, "lease.")
     try:
-        terms = Terms(
+        terms = LeaseTerms(
             ttl=timedelta(seconds=whole(raw, "ttl_s", 5, 1, "lease.")),
-            act=milliseconds(raw, "act_ms", 500, "lease."),
+            action_timeout=milliseconds(raw, "act_ms", 500, "lease."),
             drift=number(raw, "drift", 0.01, "lease."),
             epoch=whole(raw, "epoch", 1, 1, "lease."),
         )
     except ValueError as error:
         raise ConfigError(f"lease.{error}") from None
-    if call > terms.renew:
+    if call > terms.renew_interval:
         raise ConfigError("lease.call_ms: must be at most a third of ttl_s, to try a renewal again")
     key = text(raw, "key", "lease.") if "key" in raw else "hoplane/patrol"
     every, rate = milliseconds(raw, "every_ms", 1000, "lease."), number(raw, "clock_rate", 1.0, "lease.")
@@ -285,9 +285,9 @@
 
 def shared(raw: dict, told: dict) -> Shared:
     """Check the part of a file of ours that tells what the fleet shares."""
-    from hoplane.lease.choice import Terms
-    from hoplane.shared.escrow import Budget
-    from hoplane.shared.verdicts import Rule
+    from hoplane.lease.state_machine import LeaseTerms
+    from hoplane.shared.budget import Budget
+    from hoplane.shared.outlier_detection import OutlierRule
 
     engine = members(raw, SHARED_KEYS, "shared.")
     if isinstance(family := told.get("family_info"), dict) and family.get("ahead"):
@@ -304,14 +304,16 @@
             whole(raw, "most", 1, 1, "shared."),
             number(raw, "reserve", 0.3, "shared."),
         )
-        rule = Rule(whole(raw, "failures", 3, 1, "shared."), milliseconds(raw, "keep_ms", 4000, "shared."))
+        rule = OutlierRule(
+            whole(raw, "failures", 3, 1, "shared."), milliseconds(raw, "keep_ms", 4000, "shared.")
+        )
         # A slice's term ends a window before the lease: what `act` is to a task, the window is to a slice.
-        terms = Terms(timedelta(seconds=ttl), window, number(raw, "drift", 0.01, "shared."))
+        terms = LeaseTerms(timedelta(seconds=ttl), window, number(raw, "drift", 0.01, "shared."))
     except ValueError as error:
         key, _, what = str(error).partition(":")
         ours = {"act_ms": "window_ms", "bound": "cold_sends", "need": "failures"}
         raise ConfigError(f"shared.{ours.get(key, key)}:{what}") from None
-    if 2 * (every + 3 * call) > terms.span - window:
+    if 2 * (every + 3 * call) > terms.safe_lifetime - window:
         raise ConfigError("shared.ttl_s: too short, two rounds (every_ms, 3 calls) must fit beside window_ms")
     return Shared(engine, terms, call, every, budget, rule, number(raw, "clock_rate", 1.0, "shared."))
 
--- a/hoplane/lab/bench.py
+++ b/hoplane/lab/bench.py
@@ -14,9 +14,9 @@
 import aiohttp
 from hdrh.histogram import HdrHistogram
 
-from hoplane.lease.choice import Terms
-from hoplane.lease.etcd import Etcd
-from hoplane.lease.keeper import Keeper, clock
+from hoplane.lease.elector import LeaderElector, monotonic_clock
+from hoplane.lease.etcd import EtcdClient
+from hoplane.lease.state_machine import LeaseTerms
 
 from .drill import TAKES, TTL, Conductor, leased
 from .engine import Engine
@@ -92,24 +92,28 @@
     """Let so many holders, each with its lease, renew at one engine.
 
     Gives renewals a second, the share of a core that engine and holders took, and the calls' times."""
-    terms, found = Terms(ttl=timedelta(seconds=TTL), act=timedelta(milliseconds=150)), histogram()
+    terms, found = (
+        LeaseTerms(ttl=timedelta(seconds=TTL), action_timeout=timedelta(milliseconds=150)),
+        histogram(),
+    )
     async with Engine() as engine:
-        clients = [Etcd([engine.address], timedelta(milliseconds=500)) for _ in range(conductors)]
-        keepers = [
-            Keeper(f"bench/{at}", f"c{at}", terms, client, clock(), at) for at, client in enumerate(clients)
+        clients = [EtcdClient([engine.address], timedelta(milliseconds=500)) for _ in range(conductors)]
+        electors = [
+            LeaderElector(f"bench/{at}", f"c{at}", terms, client, monotonic_clock(), at)
+            for at, client in enumerate(clients)
         ]
-        for keeper in keepers:
-            keeper.log = Silent()
-            keeper.renew = timed(keeper.renew, found)
-        tasks = [asyncio.create_task(keeper.run()) for keeper in keepers]
+        for elector in electors:
+            elector.log = Silent()
+            elector.renew = timed(elector.renew, found)
+        tasks = [asyncio.create_task(elector.run()) for elector in electors]
         await asyncio.sleep(2 * TTL)
-        begun, cpu = sum(k.counts["renewed"] for k in keepers), time.process_time()
+        begun, cpu = sum(k.counts["renewed"] for k in electors), time.process_time()
         await asyncio.sleep(seconds)
-        rate = (sum(k.counts["renewed"] for k in keepers) - begun) / seconds
+        rate = (sum(k.counts["renewed"] for k in electors) - begun) / seconds
         share = (time.process_time() - cpu) / seconds
         for task in tasks:
             task.cancel()
-        await asyncio.gather(*tasks, *(task for k in keepers for task in k.tasks), return_exceptions=True)
+        await asyncio.gather(*tasks, *(task for k in electors for task in k.tasks), return_exceptions=True)
         for client in clients:
             await client.close()
     return rate, share, found
--- a/hoplane/lab/share_bench.py
+++ b/hoplane/lab/share_bench.py
@@ -9,12 +9,12 @@
 from itertools import chain
 from pathlib import Path
 
-from hoplane.lease.choice import Terms
-from hoplane.lease.etcd import Etcd
-from hoplane.lease.keeper import clock
-from hoplane.shared.escrow import Budget
-from hoplane.shared.sharing import Sharing
-from hoplane.shared.verdicts import Rule
+from hoplane.lease.elector import monotonic_clock
+from hoplane.lease.etcd import EtcdClient
+from hoplane.lease.state_machine import LeaseTerms
+from hoplane.shared.budget import Budget
+from hoplane.shared.fleet_sync import FleetSync
+from hoplane.shared.outlier_detection import OutlierRule
 
 from .bench import Row, Silent, beside, figures
 from .engine import Engine
@@ -65,32 +65,32 @@
 async def emulated(conductors: int) -> Run:
     """Play the sharing alone, each conductor in this process and spending all it may."""
     budget = Budget(BOUND, WINDOW, conductors, 0.3)
-    terms = Terms(timedelta(seconds=TTL), WINDOW, DRIFT)
+    terms = LeaseTerms(timedelta(seconds=TTL), WINDOW, DRIFT)
     spends: list[float] = []
     async with Engine() as engine:
         members = [
-            Sharing(
+            FleetSync(
                 f"e{at}",
-                Etcd([engine.address], timedelta(milliseconds=500)),
+                EtcdClient([engine.address], timedelta(milliseconds=500)),
                 terms,
-                Rule(),
+                OutlierRule(),
                 timedelta(milliseconds=200),
-                clock(),
+                monotonic_clock(),
                 at,
             )
             for at in range(conductors)
         ]
         for member in members:
             member.log = Silent()
-        purses = [member.budget("cold/x", budget) for member in members]
+        quotas = [member.quota_for("cold/x", budget) for member in members]
         begun, tasks = time.monotonic(), [asyncio.create_task(member.run()) for member in members]
         third = members[: conductors // 3]
         for at, change in ((CUT, "127.0.0.1:9"), (HEALED, engine.address), (END, "")):
             while time.monotonic() - begun < at:
-                for purse in purses:
-                    now = clock()()
-                    if purse.may_spend(now):
-                        purse.spend(now)
+                for quota in quotas:
+                    now = monotonic_clock()()
+                    if quota.may_spend(now):
+                        quota.spend(now)
                         spends.append(time.monotonic() - begun)
                 await asyncio.sleep(0.005)
             for member in third if change else ():
--- a/hoplane/lease/__init__.py
+++ b/hoplane/lease/__init__.py
@@ -1,1 +1,1 @@
-"""Leases for tasks that one conductor of the fleet does at a time; see docs/leases.md."""
+"""Leader election for tasks that only one conductor of the fleet runs at a time; see docs/leases.md."""
--- a/hoplane/lease/etcd.py
+++ b/hoplane/lease/etcd.py
@@ -1,7 +1,7 @@
-"""A client of etcd's v3 JSON gateway: leases, one transaction, and a watch on one key.
+"""Client of etcd's v3 JSON gateway: leases, transactions, and a watch on one key.
 
-From etcd's public API. Every call raises `Unheard` where no usable answer came in time; what it asked for
-may have been done all the same."""
+Every call raises `EtcdUnavailable` if no usable reply arrived in time. The request may have been executed all
+the same."""
 
 from __future__ import annotations
 
@@ -13,167 +13,186 @@
 import aiohttp
 import orjson
 
-NO_LEASE = 5  # gRPC's NOT_FOUND
-LINE_MOST = 1 << 20  # of a watch's line
+GRPC_NOT_FOUND = 5
+MAX_LINE_BYTES = 1 << 20  # of one message of a watch stream
 
 
-class Unheard(Exception):
-    """No usable answer came."""
+class EtcdUnavailable(Exception):
+    """etcd gave no usable reply."""
 
 
-class NoLease(Exception):
-    """The engine does not know the lease."""
+class LeaseNotFound(Exception):
+    """etcd does not know the lease."""
 
 
-def coded(value: bytes) -> str:
-    """Write bytes as the gateway takes them."""
+def encode_base64(value: bytes) -> str:
+    """Encode bytes for the JSON gateway."""
     return base64.b64encode(value).decode()
 
 
 @dataclass(slots=True, frozen=True)
-class Pair:
-    """A key's value, and the revision of its last change."""
+class KeyValue:
+    """A key's value and the revision of its last modification."""
 
     value: bytes
-    changed: int
+    mod_revision: int
 
 
-class Etcd:
-    """The engine at one or more addresses; after a failure the next one is asked."""
+class EtcdClient:
+    """Client of an etcd cluster. After a failed call it moves on to the next address."""
 
     def __init__(self, addresses: list[str], timeout: timedelta) -> None:
-        self.addresses, self.timeout, self.at = addresses, timeout.total_seconds(), 0
-        # No connection is kept: one that a partition made silent would cost a call when it is used again.
+        self.addresses, self.timeout, self.address_index = addresses, timeout.total_seconds(), 0
+        # No keep-alive: reusing a connection that a partition broke silently would time out a call.
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
 
     async def close(self) -> None:
         await self.session.close()
 
     def url(self, path: str) -> str:
-        return f"http://{self.addresses[self.at % len(self.addresses)]}/v3/{path}"
+        return f"http://{self.addresses[self.address_index % len(self.addresses)]}/v3/{path}"
 
     async def call(self, path: str, body: dict) -> dict:
-        """Make a call; raises Unheard, NoLease."""
+        """Call the gateway. Raises EtcdUnavailable or LeaseNotFound."""
         try:
-            limit = aiohttp.ClientTimeout(total=self.timeout)
-            async with self.session.post(self.url(path), data=orjson.dumps(body), timeout=limit) as response:
-                told = orjson.loads(await response.read())
+            client_timeout = aiohttp.ClientTimeout(total=self.timeout)
+            async with self.session.post(
+                self.url(path), data=orjson.dumps(body), timeout=client_timeout
+            ) as response:
+                reply = orjson.loads(await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError, orjson.JSONDecodeError) as error:
-            self.at += 1
-            raise Unheard(f"{path}: {type(error).__name__} {error}") from None
-        if response.status == 404 and isinstance(told, dict) and told.get("code") == NO_LEASE:
-            raise NoLease
-        if response.status != 200 or not isinstance(told, dict):
-            self.at += 1
-            raise Unheard(f"{path}: status {response.status}")
-        return told
-
-    async def grant(self, seconds: int) -> int:
-        """Have a lease granted and give its number."""
-        return self.number(await self.call("lease/grant", {"TTL": str(seconds)}), "ID")
-
-    async def keepalive(self, lease: int) -> None:
-        """Renew a lease; raises NoLease where the engine does not know it."""
-        result = (await self.call("lease/keepalive", {"ID": str(lease)})).get("result")
+            self.address_index += 1
+            raise EtcdUnavailable(f"{path}: {type(error).__name__} {error}") from None
+        if response.status == 404 and isinstance(reply, dict) and reply.get("code") == GRPC_NOT_FOUND:
+            raise LeaseNotFound
+        if response.status != 200 or not isinstance(reply, dict):
+            self.address_index += 1
+            raise EtcdUnavailable(f"{path}: status {response.status}")
+        return reply
+
+    async def grant(self, ttl_seconds: int) -> int:
+        """Request a lease and return its id."""
+        return self.int_field(await self.call("lease/grant", {"TTL": str(ttl_seconds)}), "ID")
+
+    async def keepalive(self, lease_id: int) -> None:
+        """Renew a lease. Raises LeaseNotFound if etcd does not know it."""
+        result = (await self.call("lease/keepalive", {"ID": str(lease_id)})).get("result")
         if not isinstance(result, dict):
-            raise Unheard("lease/keepalive: no result")
+            raise EtcdUnavailable("lease/keepalive: no result")
         if int(result.get("TTL", 0)) <= 0:
-            raise NoLease
-
-    async def revoke(self, lease: int) -> None:
-        await self.call("lease/revoke", {"ID": str(lease)})
-
-    async def take(self, key: bytes, value: bytes, lease: int) -> tuple[bool, int, str]:
-        """Write the key under the lease unless it is there; give whether it is ours, its revision, its value.
-
-        The revision is that of its creation where it is ours, and of the engine else. A call that comes
-        twice, as over a bad link, finds the key under our own lease: it is ours then, too."""
-        found = {"request_range": {"key": coded(key)}}
-        put = {"request_put": {"key": coded(key), "value": coded(value), "lease": str(lease)}}
-        told = await self.call(
+            raise LeaseNotFound
+
+    async def revoke(self, lease_id: int) -> None:
+        await self.call("lease/revoke", {"ID": str(lease_id)})
+
+    async def acquire_key(self, key: bytes, value: bytes, lease_id: int) -> tuple[bool, int, str]:
+        """Create the key under the lease if it does not exist.
+
+        Returns whether the key is ours, a revision and the key's value. The revision is the key's creation
+        revision if it is ours, else etcd's current one. The call is idempotent: if the network delivers it
+        twice, the second finds the key under our own lease and still reports it as ours."""
+        lookup = {"request_range": {"key": encode_base64(key)}}
+        put = {
+            "request_put": {"key": encode_base64(key), "value": encode_base64(value), "lease": str(lease_id)}
+        }
+        reply = await self.call(
             "kv/txn",
             {
                 "compare": [
-                    {"result": "EQUAL", "target": "CREATE", "key": coded(key), "create_revision": "0"}
+                    {"result": "EQUAL", "target": "CREATE", "key": encode_base64(key), "create_revision": "0"}
                 ],
-                "success": [put, found],
-                "failure": [found],
+                "success": [put, lookup],
+                "failure": [lookup],
             },
         )
-        revision = self.number(told.get("header", {}), "revision")
+        revision = self.int_field(reply.get("header", {}), "revision")
         try:
-            kvs = told["responses"][-1]["response_range"].get("kvs") or []
-            pair = kvs[0]
-            ours = int(pair.get("lease", 0)) == lease
-            created = int(pair["create_revision"])
-            holder = base64.b64decode(pair.get("value", "")).decode()
+            kvs = reply["responses"][-1]["response_range"].get("kvs") or []
+            kv = kvs[0]
+            is_ours = int(kv.get("lease", 0)) == lease_id
+            create_revision = int(kv["create_revision"])
+            holder = base64.b64decode(kv.get("value", "")).decode()
         except (KeyError, IndexError, TypeError, ValueError, AttributeError):
-            raise Unheard("kv/txn: no pair in its answer") from None
-        return ours, created if ours else revision, holder
+            raise EtcdUnavailable("kv/txn: the reply has no key") from None
+        return is_ours, create_revision if is_ours else revision, holder
 
-    async def read(self, prefix: bytes) -> dict[bytes, Pair]:
-        """Give all keys that begin with a prefix, as they stood at one revision."""
+    async def read_prefix(self, prefix: bytes) -> dict[bytes, KeyValue]:
+        """Return a consistent snapshot of all keys with a prefix."""
         end = prefix[:-1] + bytes([prefix[-1] + 1])
-        told = await self.call("kv/range", {"key": coded(prefix), "range_end": coded(end)})
+        reply = await self.call("kv/range", {"key": encode_base64(prefix), "range_end": encode_base64(end)})
         try:
             return {
-                base64.b64decode(each["key"]): Pair(
+                base64.b64decode(each["key"]): KeyValue(
                     base64.b64decode(each.get("value", "")), int(each["mod_revision"])
                 )
-                for each in told.get("kvs") or []
+                for each in reply.get("kvs") or []
             }
         except (KeyError, TypeError, ValueError, AttributeError):
-            raise Unheard("kv/range: no pairs in its answer") from None
+            raise EtcdUnavailable("kv/range: malformed keys in the reply") from None
 
-    async def commit(self, unchanged: dict[bytes, int], puts: list[tuple[bytes, bytes, int]]) -> bool:
-        """Write pairs (key, value, lease or 0) if these keys still have these revisions (0: not there).
+    async def commit(
+        self, expected_revisions: dict[bytes, int], puts: list[tuple[bytes, bytes, int]]
+    ) -> bool:
+        """Compare-and-swap: write (key, value, lease id or 0) if the keys still have the expected revisions.
 
-        Gives whether it was written. Raises NoLease where a lease is not known, and writes nothing then."""
-        told = await self.call(
+        An expected revision of 0 means that the key does not exist. Returns whether the writes were made.
+        Raises LeaseNotFound, without any write, if a lease is unknown."""
+        reply = await self.call(
             "kv/txn",
             {
                 "compare": [
-                    {"result": "EQUAL", "target": "MOD", "key": coded(key), "mod_revision": str(revision)}
-                    for key, revision in unchanged.items()
+                    {
+                        "result": "EQUAL",
+                        "target": "MOD",
+                        "key": encode_base64(key),
+                        "mod_revision": str(revision),
+                    }
+                    for key, revision in expected_revisions.items()
                 ],
                 "success": [
-                    {"request_put": {"key": coded(key), "value": coded(value), "lease": str(lease)}}
-                    for key, value, lease in puts
+                    {
+                        "request_put": {
+                            "key": encode_base64(key),
+                            "value": encode_base64(value),
+                            "lease": str(lease_id),
+                        }
+                    }
+                    for key, value, lease_id in puts
                 ],
             },
         )
-        return told.get("succeeded") is True
+        return reply.get("succeeded") is True
 
-    async def gone(self, key: bytes, revision: int) -> None:
-        """Return once the key is deleted, at this revision or later; raises Unheard where the watch ends."""
-        body = {"create_request": {"key": coded(key), "start_revision": str(revision)}}
-        limit = aiohttp.ClientTimeout(total=None, sock_connect=self.timeout)
+    async def wait_deleted(self, key: bytes, revision: int) -> None:
+        """Wait for the key's deletion at this revision or later. Raises EtcdUnavailable if the watch ends."""
+        body = {"create_request": {"key": encode_base64(key), "start_revision": str(revision)}}
+        client_timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.timeout)
         try:
-            async with self.session.post(self.url("watch"), json=body, timeout=limit) as response:
-                async for result in self.lines(response):
+            async with self.session.post(self.url("watch"), json=body, timeout=client_timeout) as response:
+                async for result in self.stream_results(response):
                     events = result.get("events") or []
                     if any(each.get("type") == "DELETE" for each in events):
                         return
-                    if result.get("canceled"):  # what came before is compacted: ask how it stands
+                    if result.get("canceled"):  # start revision compacted: the caller must read the key
                         return
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, AttributeError) as error:
-            raise Unheard(f"watch: {type(error).__name__} {error}") from None
-        raise Unheard("watch: ended")
-
-    async def lines(self, response: aiohttp.ClientResponse) -> AsyncIterator[dict]:
-        """Give the results of a stream, one JSON object a line."""
-        rest = b""
-        async for part in response.content.iter_any():
-            *whole, rest = (rest + part).split(b"\n")
-            if len(rest) > LINE_MOST:
-                raise ValueError("a line is too long")
-            for line in whole:
+            raise EtcdUnavailable(f"watch: {type(error).__name__} {error}") from None
+        raise EtcdUnavailable("watch: the stream ended")
+
+    async def stream_results(self, response: aiohttp.ClientResponse) -> AsyncIterator[dict]:
+        """Yield the results of a stream of newline-delimited JSON objects."""
+        buffer = b""
+        async for chunk in response.content.iter_any():
+            *complete_lines, buffer = (buffer + chunk).split(b"\n")
+            if len(buffer) > MAX_LINE_BYTES:
+                raise ValueError("a stream message is too long")
+            for line in complete_lines:
                 if line.strip():
                     yield orjson.loads(line).get("result") or {}
 
     @staticmethod
-    def number(told: dict, name: str) -> int:
+    def int_field(reply: dict, name: str) -> int:
         try:
-            return int(told[name])
+            return int(reply[name])
         except (KeyError, TypeError, ValueError):
-            raise Unheard(f"{name}: missing in the answer") from None
+            raise EtcdUnavailable(f"{name}: missing in the reply") from None
--- a/hoplane/shared/__init__.py
+++ b/hoplane/shared/__init__.py
@@ -1,1 +1,1 @@
-"""State that the conductors of a fleet share, within bounds that hold when part of it hears nothing."""
+"""State that the conductors of a fleet share. Its bounds hold during a network partition too."""
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -1,4 +1,4 @@
-"""One process's part in a fleet that shares: its conductors' budgets, failures and counts."""
+"""Membership of one process in a fleet that shares budgets, failure reports and counts."""
 
 from __future__ import annotations
 
@@ -12,75 +12,77 @@
 from hoplane.core import events as ev
 from hoplane.core.border import to_ns
 from hoplane.decision.interface import Status
-from hoplane.lease.etcd import Etcd
-from hoplane.lease.keeper import clock
+from hoplane.lease.elector import monotonic_clock
+from hoplane.lease.etcd import EtcdClient
 from hoplane.net.runtime import Runtime
 
-from .escrow import Purse
-from .sharing import Sharing
+from .budget import Quota
+from .fleet_sync import FleetSync
 
-FAILURES = (Status.ERROR, Status.RESET, Status.CONNECT_FAILED)
-ANSWERS = (Status.OK, Status.MISS)
-APPLY = timedelta(milliseconds=100)  # between looks at verdicts and counts
-TELL = timedelta(seconds=10)  # between lines of the fleet's counts
-AGAIN = timedelta(seconds=1)  # a verdict that stands is told the module anew after this
+FAILURE_STATUSES = (Status.ERROR, Status.RESET, Status.CONNECT_FAILED)
+SUCCESS_STATUSES = (Status.OK, Status.MISS)
+UPDATE_INTERVAL = timedelta(milliseconds=100)  # between updates of ejections, quotas and counts
+COUNTS_LOG_INTERVAL = timedelta(seconds=10)  # between log lines with the fleet's counts
+EJECTION_REPEAT_INTERVAL = timedelta(seconds=1)  # a lasting ejection is reported again after this
 
 
 class Member:
-    """Connects `Sharing` with the conductors of this process; nothing of a request waits on it."""
+    """Connects `FleetSync` with the conductors of this process. No request ever waits for it."""
 
     def __init__(self, config: Config, runtimes) -> None:
-        told = config.shared
-        self.told, self.runtimes = told, runtimes
-        self.now = clock(told.clock_rate)
+        settings = config.shared
+        self.settings, self.runtimes = settings, runtimes
+        self.now = monotonic_clock(settings.clock_rate)
         process = f"{config.name}.{os.urandom(4).hex()}"
-        self.engine = Etcd(list(told.engine), told.call)
+        self.engine = EtcdClient(list(settings.engine), settings.call)
         seed = int.from_bytes(os.urandom(8))
-        self.sharing = Sharing(process, self.engine, told.terms, told.rule, told.every, self.now, seed)
-        self.joined: set[int] = set()
-        self.applied: dict[str, timedelta] = {}
+        self.sync = FleetSync(
+            process, self.engine, settings.terms, settings.rule, settings.every, self.now, seed
+        )
+        self.attached: set[int] = set()
+        self.reported_ejections: dict[str, timedelta] = {}
         self.log = slog.logger(name=process)
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
-        self.tasks = [asyncio.create_task(self.sharing.run()), asyncio.create_task(self.apply())]
+        self.tasks = [asyncio.create_task(self.sync.run()), asyncio.create_task(self.run_updates())]
 
-    async def leave(self) -> None:
-        """Go on as the end begins: requests that are open still spend and count."""
+    async def begin_shutdown(self) -> None:
+        """Do nothing: requests in progress still spend and count."""
 
     async def stop(self) -> None:
-        """Tell the last counts and give the lease back, once all requests are answered."""
+        """Write the final counts and revoke the lease, after all requests were answered."""
         for task in self.tasks:
             task.cancel()
         self.count()
-        self.tell()
-        await self.sharing.stop()
+        self.log_counts()
+        await self.sync.stop()
         await self.engine.close()
 
-    def join(self, runtime: Runtime) -> None:
-        """Put a conductor's cold endpoints under the fleet's budgets, and hear of its failures."""
-        self.joined.add(id(runtime))
+    def attach(self, runtime: Runtime) -> None:
+        """Apply the fleet's budgets to a conductor's cold endpoints, and subscribe to its failures."""
+        self.attached.add(id(runtime))
         turns = runtime.state.router.turns
-        turns.fits = lambda server: self.purse(runtime, server).may_spend(self.now())
-        turns.book = lambda server: self.book(runtime, server)
+        turns.fits = lambda server: self.cold_quota(runtime, server).may_spend(self.now())
+        turns.book = lambda server: self.reserve_send(runtime, server)
         runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
         runtime.heed = self.heed
 
-    def purse(self, runtime: Runtime, server: int) -> Purse:
-        """Give the purse of a cold endpoint's budget, which begins with the first look at it."""
+    def cold_quota(self, runtime: Runtime, server: int) -> Quota:
+        """Return the quota of a cold endpoint's budget, which is created on first use."""
         endpoint = runtime.state.fleet.get(server)
-        return self.sharing.budget(f"cold/{endpoint.name if endpoint else server}", self.told.cold)
+        return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold)
 
-    def book(self, runtime: Runtime, server: int) -> None:
+    def reserve_send(self, runtime: Runtime, server: int) -> None:
         if self.cold(runtime, server):
-            self.purse(runtime, server).book(self.now())
+            self.cold_quota(runtime, server).reserve_send(self.now())
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
-        """Tell whether a send may go as its bytes do; one to a cold endpoint is written down for audits."""
+        """Return whether a request may be written now. Logs sends to cold endpoints for audits."""
         server = runtime.state.numbers.get(endpoint.name)
         if server is None or not self.cold(runtime, server):
             return True
-        if fits := self.purse(runtime, server).go(self.now()):
+        if fits := self.cold_quota(runtime, server).spend_reserved(self.now()):
             self.log.info("cold_send", endpoint=endpoint.name, monotonic=time.monotonic())
         return fits
 
@@ -90,40 +92,40 @@
         return known is not None and known.warmth(now, runtime.state.settings.cold) < 1
 
     def heed(self, endpoint: str, status: Status) -> None:
-        if status in FAILURES:
-            self.sharing.verdicts.failed(self.now(), endpoint)
-        elif status in ANSWERS:
-            self.sharing.verdicts.answered(endpoint)
-
-    async def apply(self) -> None:
-        """Tell the module of what the fleet avoids, count, and end the budgets of what is warm or gone."""
-        last = self.now()
+        if status in FAILURE_STATUSES:
+            self.sync.outliers.record_failure(self.now(), endpoint)
+        elif status in SUCCESS_STATUSES:
+            self.sync.outliers.record_success(endpoint)
+
+    async def run_updates(self) -> None:
+        """Report ejections to the decision module, update counts, and drop quotas no longer needed."""
+        last_logged = self.now()
         while True:
             for runtime in self.runtimes():
-                if id(runtime) not in self.joined:
-                    self.join(runtime)
-                self.avoid(runtime)
-            self.prune()
+                if id(runtime) not in self.attached:
+                    self.attach(runtime)
+                self.report_ejections(runtime)
+            self.drop_unused_quotas()
             self.count()
-            if self.now() - last >= TELL:
-                last = self.now()
-                self.tell()
-            await asyncio.sleep(APPLY.total_seconds())
+            if self.now() - last_logged >= COUNTS_LOG_INTERVAL:
+                last_logged = self.now()
+                self.log_counts()
+            await asyncio.sleep(UPDATE_INTERVAL.total_seconds())
 
-    def avoid(self, runtime: Runtime) -> None:
+    def report_ejections(self, runtime: Runtime) -> None:
         now, listed = self.now(), [each.name for each in runtime.state.fleet.values()]
-        avoided = self.sharing.verdicts.avoided(now, listed)
-        for name in avoided:
-            if now - self.applied.get(name, -AGAIN) >= AGAIN:
-                if name not in self.applied:
+        ejected = self.sync.outliers.ejected(now, listed)
+        for name in ejected:
+            if now - self.reported_ejections.get(name, -EJECTION_REPEAT_INTERVAL) >= EJECTION_REPEAT_INTERVAL:
+                if name not in self.reported_ejections:
                     self.log.info("endpoint_avoided", endpoint=name)
-                self.applied[name] = now
+                self.reported_ejections[name] = now
                 runtime.feed(ev.Judged(name))
-        for name in [name for name in self.applied if name in listed and name not in avoided]:
-            del self.applied[name]
+        for name in [name for name in self.reported_ejections if name in listed and name not in ejected]:
+            del self.reported_ejections[name]
             self.log.info("endpoint_welcome", endpoint=name)
 
-    def prune(self) -> None:
+    def drop_unused_quotas(self) -> None:
         cold = set()
         for runtime in self.runtimes():
             cold |= {
@@ -131,25 +133,25 @@
                 for number, endpoint in runtime.state.fleet.items()
                 if self.cold(runtime, number)
             }
-        for name in set(self.sharing.purses) - cold:
-            self.sharing.drop(name)
+        for name in set(self.sync.quotas) - cold:
+            self.sync.drop_quota(name)
 
     def count(self) -> None:
-        """Take our conductors' counts over; they only grow."""
+        """Merge the counts of this process's conductors into the counter."""
         totals: dict[str, int] = {}
         for runtime in self.runtimes():
             for cls, counts in runtime.state.figures.transactions.items():
                 for what, count in counts.items():
                     totals[f"{cls}/{what}"] = totals.get(f"{cls}/{what}", 0) + count
-        self.sharing.counter.take(self.sharing.process, totals)
+        self.sync.counter.merge(self.sync.process, totals)
 
-    def tell(self) -> None:
-        sharing = self.sharing
+    def log_counts(self) -> None:
+        sync = self.sync
         self.log.info(
             "fleet",
-            members=sharing.members,
-            counts=sharing.counter.total(),
-            rounds=sharing.rounds,
-            clashes=sharing.clashes,
-            mine=sharing.counter.mine,
+            members=sync.members,
+            counts=sync.counter.total(),
+            rounds=sync.rounds,
+            clashes=sync.clashes,
+            mine=sync.counter.mine,
         )
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -5,25 +5,25 @@
 from datetime import timedelta
 
 from hoplane.lab.store import Compare, NoLease, Put, Range, Store
-from hoplane.lease.choice import (
-    Ask,
-    Begin,
-    End,
-    Failed,
-    Freed,
-    Gone,
-    Holder,
+from hoplane.lease.state_machine import (
+    Acquired,
+    CallFailed,
+    Campaign,
+    HeldByOther,
+    KeyDeleted,
+    LeaseExpired,
+    LeaseStateMachine,
+    LeaseTerms,
     Renew,
     Renewed,
     Revoke,
-    Taken,
-    Terms,
+    TenureEnded,
+    TenureStarted,
     Tick,
     Watch,
-    Won,
 )
 
-KEY, CALL = b"k", 300
+KEY, CALL_TIMEOUT_MS = b"k", 300
 MS = timedelta(milliseconds=1)
 
 
@@ -35,18 +35,18 @@
 class Outage:
     """What becomes of a member's calls for some ms: `lost` or slow on the way there, or on the way back."""
 
-    who: int
+    member_index: int
     start: int
     length: int
     kind: str
-    slow: int = 0
+    delay_ms: int = 0
 
 
 @dataclass
 class Member:
-    holder: Holder
-    rate: float
-    acting_until: float = 0.0  # true time at which its last act is over
+    machine: LeaseStateMachine
+    clock_rate: float
+    action_until: float = 0.0  # true time at which its last act is over
     revokes: list = field(default_factory=list)
 
 
@@ -55,134 +55,157 @@
 
     In a span a member is told that it may act, or acts that it could have begun are under way."""
 
-    def __init__(self, terms, rates, outages, kind=Holder):
-        self.store, self.outages, self.at = Store(), outages, 0.0
-        self.members = [Member(kind(terms, seed), rate) for seed, rate in enumerate(rates)]
-        self.terms, self.spans, self.queue, self.count = terms, [], [], 0
+    def __init__(self, terms, clock_rates, outages, machine_class=LeaseStateMachine):
+        self.store, self.outages, self.now_ms = Store(), outages, 0.0
+        self.members = [
+            Member(machine_class(terms, seed), clock_rate) for seed, clock_rate in enumerate(clock_rates)
+        ]
+        self.terms, self.action_spans, self.queue, self.scheduled = terms, [], [], 0
 
     def local(self, member):
-        return ms(self.at) * member.rate
+        return ms(self.now_ms) * member.clock_rate
 
-    def later(self, after, work):
-        self.count += 1
-        heapq.heappush(self.queue, (self.at + after, self.count, work))
+    def schedule(self, delay, callback):
+        self.scheduled += 1
+        heapq.heappush(self.queue, (self.now_ms + delay, self.scheduled, callback))
 
-    def perform(self, who, effects):
-        member = self.members[who]
+    def perform(self, member_index, effects):
+        member = self.members[member_index]
         for effect in effects:
             if isinstance(effect, Revoke):
-                self.later(max(0.0, member.acting_until - self.at), lambda e=effect: self.send(who, e))
-            elif isinstance(effect, Ask | Renew):
-                self.send(who, effect)
+                self.schedule(
+                    max(0.0, member.action_until - self.now_ms), lambda e=effect: self.send(member_index, e)
+                )
+            elif isinstance(effect, Campaign | Renew):
+                self.send(member_index, effect)
             elif isinstance(effect, Watch):
-                self.poll(who, effect.revision)
+                self.poll_watch(member_index, effect.revision)
             else:
-                assert isinstance(effect, Begin | End)
+                assert isinstance(effect, TenureStarted | TenureEnded)
 
-    def poll(self, who, revision):
+    def poll_watch(self, member_index, revision):
         """Play a watch: it is told of the key's end a little later."""
         if any(change.deleted for change in self.store.since(revision, KEY)):
-            self.give(who, Freed())
-        elif self.members[who].holder.phase.value == "waiting":
-            self.later(20, lambda: self.poll(who, revision))
+            self.deliver(member_index, KeyDeleted())
+        elif self.members[member_index].machine.phase.value == "waiting":
+            self.schedule(20, lambda: self.poll_watch(member_index, revision))
 
-    def send(self, who, effect):
+    def send(self, member_index, effect):
         """Send a call; its caller gives up after CALL ms of its own clock."""
-        fates = [o for o in self.outages if o.who == who and o.start <= self.at < o.start + o.length]
-        kinds, slow, answered = {o.kind for o in fates}, max((o.slow for o in fates), default=0), []
-        lease = getattr(effect, "lease", 0)
+        active_outages = [
+            o
+            for o in self.outages
+            if o.member_index == member_index and o.start <= self.now_ms < o.start + o.length
+        ]
+        outage_kinds, delay_ms, answered = (
+            {o.kind for o in active_outages},
+            max((o.delay_ms for o in active_outages), default=0),
+            [],
+        )
+        lease_id = getattr(effect, "lease_id", 0)
         if not isinstance(effect, Revoke):
 
             def give_up():
                 if not answered:
                     answered.append(True)
-                    self.give(who, Failed(effect.sent, lease))
+                    self.deliver(member_index, CallFailed(effect.sent_at, lease_id))
 
-            self.later(CALL / self.members[who].rate, give_up)
+            self.schedule(CALL_TIMEOUT_MS / self.members[member_index].clock_rate, give_up)
 
         def arrive():
-            event = self.served(who, effect)
+            event = self.serve(member_index, effect)
 
-            def back():
+            def deliver_reply():
                 if event is not None and not answered:
                     answered.append(True)
-                    self.give(who, event)
+                    self.deliver(member_index, event)
 
-            if "unheard" not in kinds:
-                self.later(slow if "slow back" in kinds else 2, back)
+            if "reply lost" not in outage_kinds:
+                self.schedule(delay_ms if "slow reply" in outage_kinds else 2, deliver_reply)
 
-        if "lost" not in kinds:
-            self.later(slow if "slow there" in kinds else 2, arrive)
+        if "request lost" not in outage_kinds:
+            self.schedule(delay_ms if "slow request" in outage_kinds else 2, arrive)
 
-    def served(self, who, effect):
-        now = ms(self.at)
+    def serve(self, member_index, effect):
+        now = ms(self.now_ms)
         self.store.expire(now)
         if isinstance(effect, Revoke):
-            if effect.lease in self.store.leases:
-                self.store.revoke(now, effect.lease)
+            if effect.lease_id in self.store.leases:
+                self.store.revoke(now, effect.lease_id)
             return None
         if isinstance(effect, Renew):
-            left = self.store.renew(now, effect.lease)
-            return (Renewed if left else Gone)(effect.sent, effect.lease)
-        lease = self.store.grant(now, self.terms.ttl)
+            left = self.store.renew(now, effect.lease_id)
+            return (Renewed if left else LeaseExpired)(effect.sent_at, effect.lease_id)
+        lease_id = self.store.grant(now, self.terms.ttl)
         free = [Compare(KEY, "created", "=", 0)]
         try:
-            held, found = self.store.txn(now, free, [Put(KEY, str(who).encode(), lease)], [Range(KEY)])
+            acquired, found = self.store.txn(
+                now, free, [Put(KEY, str(member_index).encode(), lease_id)], [Range(KEY)]
+            )
         except NoLease:
-            return Failed(effect.sent, lease)
-        if held:
-            return Won(effect.sent, lease, self.store.revision)
-        return Taken(effect.sent, lease, self.store.revision, found[0][0].value.decode())
+            return CallFailed(effect.sent_at, lease_id)
+        if acquired:
+            return Acquired(effect.sent_at, lease_id, self.store.revision)
+        return HeldByOther(effect.sent_at, lease_id, self.store.revision, found[0][0].value.decode())
 
-    def give(self, who, event):
-        member = self.members[who]
-        self.perform(who, member.holder.take(self.local(member), event))
+    def deliver(self, member_index, event):
+        member = self.members[member_index]
+        self.perform(member_index, member.machine.handle(self.local(member), event))
 
     def run(self, until, step=10):
         """Go on in steps; whoever may act is taken to, for as long as an act may take."""
-        while self.at < until:
-            goal = self.at + step
-            while self.queue and self.queue[0][0] <= goal:
-                self.at, _, work = heapq.heappop(self.queue)
-                work()
-            self.at = goal
-            for who, member in enumerate(self.members):
-                wake = member.holder.wake()
-                if wake is not None and wake <= self.local(member):
-                    self.give(who, Tick())
-                if member.holder.may_act(self.local(member)) is not None:
-                    under_way = member.acting_until >= self.at
-                    member.acting_until = self.at + self.terms.act / MS / member.rate
-                    if under_way and self.spans and (mine := [s for s in self.spans if s[2] == who]):
-                        mine[-1][1] = member.acting_until
+        while self.now_ms < until:
+            step_end = self.now_ms + step
+            while self.queue and self.queue[0][0] <= step_end:
+                self.now_ms, _, callback = heapq.heappop(self.queue)
+                callback()
+            self.now_ms = step_end
+            for member_index, member in enumerate(self.members):
+                next_wakeup = member.machine.next_wakeup()
+                if next_wakeup is not None and next_wakeup <= self.local(member):
+                    self.deliver(member_index, Tick())
+                if member.machine.may_act(self.local(member)) is not None:
+                    under_way = member.action_until >= self.now_ms
+                    member.action_until = self.now_ms + self.terms.action_timeout / MS / member.clock_rate
+                    if (
+                        under_way
+                        and self.action_spans
+                        and (own_spans := [s for s in self.action_spans if s[2] == member_index])
+                    ):
+                        own_spans[-1][1] = member.action_until
                     else:
-                        self.spans.append([self.at, member.acting_until, who])
+                        self.action_spans.append([self.now_ms, member.action_until, member_index])
         return self
 
     def overlaps(self):
-        spans = sorted(self.spans)
-        pairs = ((a, b) for i, a in enumerate(spans) for b in spans[i + 1 :])
+        action_spans = sorted(self.action_spans)
+        pairs = ((a, b) for i, a in enumerate(action_spans) for b in action_spans[i + 1 :])
         return [(a, b) for a, b in pairs if a[2] != b[2] and b[0] < a[1]]
 
 
-class Marginless(Terms):
+class NoDriftMargin(LeaseTerms):
     """Terms without the margin: a holder takes its lease to live for all of its time."""
 
     @property
-    def span(self):
+    def safe_lifetime(self):
         return self.ttl
 
 
-class FromAnswer(Holder):
+class CountsFromReply(LeaseStateMachine):
     """A holder that counts its time from when an answer came, not from when its call went out."""
 
-    def take(self, now, event):
-        if isinstance(event, Renewed) and self.holds(event):
-            effects = super().take(now, event)
-            self.until = now + self.terms.span
+    def handle(self, now, event):
+        if isinstance(event, Renewed) and self.is_current(event):
+            effects = super().handle(now, event)
+            self.valid_until = now + self.terms.safe_lifetime
             return effects
-        return super().take(now, event)
+        return super().handle(now, event)
 
 
-def changed(terms, kind):
-    return kind(**{name: getattr(terms, name) for name in ("ttl", "act", "drift", "least", "most", "epoch")})
+def copy_terms(terms, terms_class):
+    return terms_class(
+        **{
+            name: getattr(terms, name)
+            for name in ("ttl", "action_timeout", "drift", "min_backoff", "max_backoff", "epoch")
+        }
+    )
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -56,4 +56,4 @@
     assert config.lease is None and config.shared is None
     config = read(tmp_path, f"[lease]\n{ENGINE}[shared]\n{ENGINE}most = 6\n")
     assert config.lease.terms.ttl == timedelta(seconds=5) and config.lease.key == "hoplane/patrol"
-    assert config.shared.cold.most == 6 and config.shared.rule.need == 3
+    assert config.shared.cold.max_members == 6 and config.shared.rule.min_failures == 3
