--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -136,7 +136,7 @@
             self.reload_later(error)
             return
         except ConfigError as error:
-            log.say("reload_failed", error=str(error))
+            log.write_event("reload_failed", error=str(error))
             for runtime in self.front.runtimes:
                 runtime.feed(Reloaded(None))
             return
@@ -154,12 +154,12 @@
         ]
         taken = {name: getattr(new, name) for name in configuration.RELOADED}
         self.config = replace(self.config, told=new.told, **taken)
-        log.say("reloaded", watch=str(watch), at_next_start=wait)
+        log.write_event("reloaded", watch=str(watch), at_next_start=wait)
 
     def reload_later(self, error: Unreadable) -> None:
         """Read the configuration once more a moment later: the SIGHUP is still owed a reload."""
         self.unread += 1
-        log.seldom("reload_unread", error=str(error), tries=self.unread)
+        log.write_event_limited("reload_unread", error=str(error), tries=self.unread)
         if self.rereading is not None:
             self.rereading.cancel()
         delay = min(REREAD * self.unread, REREAD_MOST)
@@ -181,7 +181,7 @@
         signals.ignore_reload()
         self.watching.cancel()
         await self.pool.close()
-        log.say("stopped", **self.pool.tally.line())
+        log.write_event("stopped", **self.pool.tally.line())
 
     async def work(self, stop: asyncio.Event) -> None:
         """Take clients from here on until the end is asked for, and finish what was taken."""
@@ -191,7 +191,9 @@
             await self.operator.start()
         gc.collect()
         gc.freeze()  # what lives from the start to the end need not be looked at again and again
-        log.say("started", name=self.config.name, listen="{}:{}".format(*self.config.listen), pid=os.getpid())
+        log.write_event(
+            "started", name=self.config.name, listen="{}:{}".format(*self.config.listen), pid=os.getpid()
+        )
         beside = [asyncio.create_task(self.tidy()), asyncio.create_task(self.pool.tally.tell())]
         if self.handover:
             beside.append(asyncio.create_task(self.handover.run()))
@@ -200,7 +202,7 @@
         await stop.wait()
         for part in self.beside_path:
             await part.leave()
-        log.say("stopping", open=self.front.server.open)
+        log.write_event("stopping", open=self.front.server.open)
         await self.front.server.stop()
         if self.operator:
             self.operator.stop()
@@ -215,7 +217,9 @@
 async def serve(config: Config, again: Callable[[Config], Config]) -> None:
     """Serve to the end."""
     asyncio.get_running_loop().set_exception_handler(
-        lambda loop, told: log.say("loop_fault", text=told["message"], error=repr(told.get("exception")))
+        lambda loop, told: log.write_event(
+            "loop_fault", text=told["message"], error=repr(told.get("exception"))
+        )
     )
     await Conductor(config, again).serve()
 
@@ -254,6 +258,6 @@
         with asyncio.Runner(loop_factory=patient_loop) as runner:
             runner.run(serve(config, lambda before: configuration.load(os.environ, file, before)))
     except ConfigError as error:
-        log.say("bad_configuration", error=str(error))
+        log.write_event("bad_configuration", error=str(error))
         return 2
     return 0
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -288,7 +288,7 @@
         if len(runtime.exchanges) >= self.config.max_open:
             return problem(503, "too much at once", self.later, close=True)
         if denial := self.server.may_start():
-            log.seldom("request_denied", request=asked.id, reason=denial.value)
+            log.write_event_limited("request_denied", request=asked.id, reason=denial.value)
             return problem(503, "the server is stopping", self.later, close=True)
         exchange = Exchange(request, asked, body)
         return await runtime.serve(exchange, exchange.sink.done)
--- a/hoplane/fronts/operator.py
+++ b/hoplane/fronts/operator.py
@@ -65,11 +65,11 @@
             return orjson.dumps(self.figures()) + b"\r\n.\r\n"
         if word == b"LEAVE":
             self.leave()
-            log.say("operator", call="LEAVE")
+            log.write_event("operator", call="LEAVE")
             return b"+OK leaving\r\n"
         if word == b"JOIN":
             self.join()
-            log.say("operator", call="JOIN")
+            log.write_event("operator", call="JOIN")
             return b"+OK joined\r\n"
         return b"-ERR unknown call\r\n"
 
@@ -98,7 +98,7 @@
             try:
                 answer = self.front.answer(line)
             except Exception as error:  # guards the loop: a fault of ours is told, not left to wait
-                log.say("operator_broke", error=repr(error))
+                log.write_event("operator_broke", error=repr(error))
                 answer = b"-ERR a fault of the conductor\r\n"
             self.reply(answer)
         elif len(self.data) > LINE_MOST:
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -60,7 +60,7 @@
         except (AttributeError, ConfigError, KeyError, TypeError, ValueError, OverflowError) as error:
             name = each.get("name") if isinstance(each, dict) else None
             unread.append(str(name))
-            log.seldom("list_entry_bad", entry=at, endpoint=name, error=repr(error))
+            log.write_event_limited("list_entry_bad", entry=at, endpoint=name, error=repr(error))
     return Listed(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
 
 
@@ -68,7 +68,9 @@
     """Translate an entry of the list; a status that the protocol does not name gets nothing new."""
     status = text(each, "status")
     if status not in STATES:
-        log.seldom("list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains")
+        log.write_event_limited(
+            "list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains"
+        )
     return Endpoint(
         text(each, "name"),
         text(each, "address"),
@@ -264,7 +266,7 @@
         except orjson.JSONDecodeError:
             return self.turned(asked, problem(400, "the body is not JSON", close=True))
         if denial := self.server.may_start():
-            log.seldom("request_denied", request=asked.id, reason=denial.value)
+            log.write_event_limited("request_denied", request=asked.id, reason=denial.value)
             return self.turned(asked, self.busy())
         runtime = self.runtime
         if asked.id in runtime.exchanges:
--- a/hoplane/log.py
+++ b/hoplane/log.py
@@ -61,7 +61,7 @@
 output = Output()
 
 
-def say(event: str, **facts: object) -> None:
+def write_event(event: str, **facts: object) -> None:
     """Write a line; the page docs/on-call.md tells what each event means. Never raises."""
     line = {"at": datetime.now(UTC), "event": event, **facts}
     if output.dropped:
@@ -78,7 +78,7 @@
 lately: dict[str, tuple[float, int]] = {}  # by event: when it was said last, and how many came since
 
 
-def seldom(event: str, **facts: object) -> None:
+def write_event_limited(event: str, **facts: object) -> None:
     """Write a line at most once a second; `more` tells how many others of its kind went unsaid before it.
 
     Guards against floods that would fill the log, and keep the one core at work with it."""
@@ -87,7 +87,7 @@
         lately[event] = said, more + 1
         return
     lately[event] = time.monotonic(), 0
-    say(event, **facts, **({"more": more} if more else {}))
+    write_event(event, **facts, **({"more": more} if more else {}))
 
 
 class Lines(logging.Handler):
@@ -95,4 +95,6 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         error = record.exc_info and repr(record.exc_info[1])
-        say("library", logger=record.name, level=record.levelname, text=record.getMessage(), error=error)
+        write_event(
+            "library", logger=record.name, level=record.levelname, text=record.getMessage(), error=error
+        )
--- a/hoplane/net/aio.py
+++ b/hoplane/net/aio.py
@@ -162,7 +162,7 @@
             return
         self.pause = min(2 * self.pause, KEEP_AGAIN_MOST) if now - self.again < self.pause else KEEP_AGAIN
         self.again, self._keepalive_timeout = now + self.pause, 0.0
-        log.say("connections_stale", idle_ms=round(idle * 1000), none_kept_for_s=self.pause)
+        log.write_event("connections_stale", idle_ms=round(idle * 1000), none_kept_for_s=self.pause)
 
     @property
     def keeping(self) -> bool:
@@ -308,7 +308,7 @@
         """Word an error as our front does, with no line for each in the log."""
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun")
-        log.seldom("bad_request", text=(message or repr(exc)).split("\n")[0][:200])
+        log.write_event_limited("bad_request", text=(message or repr(exc)).split("\n")[0][:200])
         return self._manager.problem(status, "the request cannot be read", close=True)
 
     async def finish_response(self, request, resp, start_time):
@@ -397,7 +397,7 @@
     def __call__(self) -> asyncio.Protocol:
         if len(self._connections) < self.most or self.make_room():
             return self.caller()
-        log.seldom("client_turned_away", connections=self.most)
+        log.write_event_limited("client_turned_away", connections=self.most)
         return TurnedAway(self)
 
     def make_room(self) -> bool:
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -50,7 +50,7 @@
         if not whole and self.index is not None and answer["index"] < self.index:
             # Guards against an agent that started anew: its changes belong to a list that we do not have, and
             # the whole one is asked for. Only what they say of drains is told by now, and does no harm.
-            log.say("list_went_back", index=answer["index"], known=self.index)
+            log.write_event("list_went_back", index=answer["index"], known=self.index)
             self.index = None
             drains = tuple(each for each in listed.endpoints if each.state is not State.LIVE)
             if drains:
@@ -93,7 +93,7 @@
                 self.pacing.answered()
                 self.heard.set()
                 if self.failing:
-                    log.say("discovery_back", index=self.index)
+                    log.write_event("discovery_back", index=self.index)
                 self.failing = False
             else:
                 unheard = timedelta(seconds=loop.time() - answered)
@@ -117,7 +117,7 @@
             self.pool.tally["watches_failed"] += 1
             # Guards against an answer of any form that would end the watch, and with it the list, unseen.
             if not self.failing:
-                log.say("discovery_lost", error=repr(error))
+                log.write_event("discovery_lost", error=repr(error))
             self.failing = True
             return isinstance(error, TimeoutError)
         return None
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -83,7 +83,7 @@
             new.write_bytes(orjson.dumps(told))
             new.replace(self.path)
         except OSError as error:
-            log.seldom("handover_unwritten", error=str(error))
+            log.write_event_limited("handover_unwritten", error=str(error))
 
     def peers(self) -> list[Peer]:
         """Read what the others told; a file that cannot be read counts as none."""
@@ -101,5 +101,5 @@
         self.verdict = judge(self.pid, self.born, self.peers(), monotonic())
         if self.verdict.superseded and not self.given_way:
             self.given_way = True
-            log.say("giving_way")
+            log.write_event("giving_way")
             self.give_way()
--- a/hoplane/net/listener.py
+++ b/hoplane/net/listener.py
@@ -71,7 +71,7 @@
                 return None
             except OSError as error:
                 if error.errno in EXHAUSTED:
-                    log.seldom("accept_failed", error=repr(error))
+                    log.write_event_limited("accept_failed", error=repr(error))
                     raise
                 continue
             self.failures = 0
@@ -96,7 +96,9 @@
         """Note that a connection is in use, or close it where that failed."""
         self.adopting.discard(task)
         if task.cancelled() or task.exception() is not None:
-            log.seldom("connection_broke", error=repr(None if task.cancelled() else task.exception()))
+            log.write_event_limited(
+                "connection_broke", error=repr(None if task.cancelled() else task.exception())
+            )
             connection.close()
 
     async def close(self, take_waiting: bool) -> None:
@@ -121,7 +123,7 @@
                 connection = self.take()
             except OSError:
                 if self.loop.time() >= until:
-                    log.say("listener_abandoned", listen=repr(self.listening.getsockname()))
+                    log.write_event("listener_abandoned", listen=repr(self.listening.getsockname()))
                     return
                 await asyncio.sleep(RETRY.total_seconds())
                 continue
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -29,7 +29,9 @@
 
 def spoilt(effect: ev.Forward, error: Exception) -> Status:
     """Tell of an answer that cannot be read: the endpoint is up, and the request may have run."""
-    log.seldom("answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200])
+    log.write_event_limited(
+        "answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200]
+    )
     return Status.ERROR
 
 
@@ -89,7 +91,7 @@
             if isinstance(error, Spoilt | ValueError):
                 return spoilt(effect, error), tail
             if not isinstance(error, aiohttp.ClientError | OSError | TimeoutError):
-                log.say("relay_broke", error=repr(error))
+                log.write_event("relay_broke", error=repr(error))
             return Status.RESET, tail
         await sink.finish()
         return Status.OK, tail
@@ -119,7 +121,7 @@
             # Guards against endpoints that answer more, all together, than the limit on memory allows.
             if not self.answers.take(len(part)):
                 self.answers.give(len(data))
-                log.seldom("answer_too_large", read=len(data))
+                log.write_event_limited("answer_too_large", read=len(data))
                 return None
             data += part
         sink.done.add_done_callback(lambda done: self.answers.give(len(data)))
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -37,7 +37,7 @@
         """Tell of a release that was taken later than the settings want."""
         limit = self.state.settings.release_within
         if effect.left is not None and limit and (held := to_ns(self.clock.now() - effect.left)) > limit:
-            log.seldom("release_late", request=effect.id, held_ms=held // 1_000_000, asked=asked)
+            log.write_event_limited("release_late", request=effect.id, held_ms=held // 1_000_000, asked=asked)
             if held > limit + to_ns(HELD_EXTRA):
                 self.report(Violation.HELD_TOO_LONG, effect.id)
 
@@ -81,7 +81,7 @@
                     return
                 if self.loop.time() - begun > releasing.MOST.total_seconds():
                     break
-            log.seldom("release_unheard", request=effect.id, asked=asked)
+            log.write_event_limited("release_unheard", request=effect.id, asked=asked)
         finally:
             for task in calls:
                 task.cancel()
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -138,7 +138,7 @@
         """Count and log a fault of ours."""
         self.invariants.note(violation)
         kind, id = type(what).__name__, getattr(what, "id", None)
-        log.seldom("violation", kind=violation.value, of=kind, request=id, error=repr(error))
+        log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
     def unperformed(self, effect: ev.Effect) -> None:
         """Give the outcome of an effect that failed as it was performed, for the module to go on with."""
@@ -195,7 +195,7 @@
     def noted(self, violation: Violation | None, id: str) -> None:
         """Log a violation that was counted."""
         if violation is not None:
-            log.seldom("violation", kind=violation.value, request=id)
+            log.write_event_limited("violation", kind=violation.value, request=id)
 
     def figures(self) -> dict[str, object]:
         """Give the figures that the core keeps, for the operator."""
@@ -223,7 +223,7 @@
         """Tell of work that broke: it must not end in silence."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            log.say("task_broke", error=repr(error))
+            log.write_event("task_broke", error=repr(error))
 
     async def rest(self) -> None:
         """Wait until nothing is out any more."""
@@ -241,7 +241,7 @@
         if told := facts.get("not_live"):
             facts = {**facts, "last_sent": {n: self.last_sent[n] for n in told if n in self.last_sent}}
             self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.numbers}
-        log.say(effect.event, **facts)
+        log.write_event(effect.event, **facts)
 
     def refuse(self, effect: ev.Refuse) -> None:
         if exchange := self.exchanges.get(effect.id):
@@ -285,7 +285,7 @@
         """Log a denial, and end a request whose client has gone; tells whether there was none."""
         if denial is None:
             return True
-        log.seldom(denial.value, request=effect.id, endpoint=effect.endpoint.name)
+        log.write_event_limited(denial.value, request=effect.id, endpoint=effect.endpoint.name)
         if denial is Denial.CLIENT_GONE:
             self.feed(ev.Left(effect.id))
         return False
@@ -422,6 +422,6 @@
         if status in (Status.TIMEOUT, Status.CONNECT_FAILED):
             # Guards against connections from before the cut, on which the next request would wait in vain.
             self.pool.connector.drop_idle(effect.endpoint.address)
-            log.seldom("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
+            log.write_event_limited("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
         took = timedelta(seconds=self.loop.time() - begun)
         self.feed(ev.Probed(effect.server, status, took, load))
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -226,7 +226,7 @@
             response = await self.handler(request)
         except Exception as error:
             # Guards against a fault of ours that ends a connection unanswered, or in words of another wire.
-            log.say("request_broke", error=repr(error))
+            log.write_event("request_broke", error=repr(error))
             response = self.problem(500, "a fault of the conductor")
         finally:
             self.open -= 1
--- a/hoplane/net/tally.py
+++ b/hoplane/net/tally.py
@@ -23,4 +23,4 @@
         """Write a line every so often. One conductor's cost is small: only the sum over a fleet shows it."""
         while True:
             await asyncio.sleep(EVERY.total_seconds())
-            log.say("tally", **self.line())
+            log.write_event("tally", **self.line())
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -177,7 +177,7 @@
             found = read_endpoints(path.read_bytes(), clusters)
         except (OSError, Broken, TypeError, AttributeError) as error:
             # Guards against a file half written or wrong: an empty fleet would be worse than an old one.
-            log.say("xds_broken", file=path.name, error=str(error))
+            log.write_event("xds_broken", file=path.name, error=str(error))
             return f"{path.name}: {error}"
         for name in {*found, *self.told}:
             listed = found.get(name, Listed((), True))
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -95,10 +95,10 @@
             await read_it(call, writer)
 
         first = (
-            "from hoplane import conductor as it\nimport os\nsay = it.log.say\n"
-            "def last(event, **facts):\n    say(event, **facts)\n"
+            "from hoplane import conductor as it\nimport os\nwrite = it.log.write_event\n"
+            "def last(event, **facts):\n    write(event, **facts)\n"
             '    event == "started" and os.dup2(os.open("/dev/full", os.O_WRONLY), 2)\n'
-            "it.log.say = last\n"
+            "it.log.write_event = last\n"
         )
         async with Server(read) as reader, Server(write_it) as writer, Server(read_it) as other:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
