--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -20,7 +20,7 @@
 from hoplane.core.ledger import Ledger
 from hoplane.core.permits import Denial
 from hoplane.core.reducer import Conductor, steps
-from hoplane.decision.interface import KEPT, Status
+from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.decision.rules import Router
 from hoplane.net.aio import Spoilt, Stale
 from hoplane.net.clock import Clock
@@ -138,13 +138,15 @@
         """Count and log a fault of ours."""
         self.invariants.note(violation)
         kind, id = type(what).__name__, getattr(what, "id", None)
-        log.seldom("violation", kind=violation.value, of=kind, request=id, error=repr(error))
+        log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
     def unperformed(self, effect: ev.Effect) -> None:
         """Give the outcome of an effect that failed as it was performed, for the module to go on with."""
         if isinstance(effect, ev.Forward) and (effect.id, effect.attempt) not in self.attempts:
             self.sent.pop((effect.id, effect.attempt), None)
-            self.feed(ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, KEPT, written=False))
+            self.feed(
+                ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT, written=False)
+            )
         elif isinstance(effect, ev.AskHold):
             self.feed(ev.HoldAnswered(effect.id, effect.attempt, False))
 
@@ -195,7 +197,7 @@
     def noted(self, violation: Violation | None, id: str) -> None:
         """Log a violation that was counted."""
         if violation is not None:
-            log.seldom("violation", kind=violation.value, request=id)
+            log.write_event_limited("violation", kind=violation.value, request=id)
 
     def figures(self) -> dict[str, object]:
         """Give the figures that the core keeps, for the operator."""
@@ -223,7 +225,7 @@
         """Tell of work that broke: it must not end in silence."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            log.say("task_broke", error=repr(error))
+            log.write_event("task_broke", error=repr(error))
 
     async def rest(self) -> None:
         """Wait until nothing is out any more."""
@@ -241,7 +243,7 @@
         if told := facts.get("not_live"):
             facts = {**facts, "last_sent": {n: self.last_sent[n] for n in told if n in self.last_sent}}
             self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.numbers}
-        log.say(effect.event, **facts)
+        log.write_event(effect.event, **facts)
 
     def refuse(self, effect: ev.Refuse) -> None:
         if exchange := self.exchanges.get(effect.id):
@@ -285,7 +287,7 @@
         """Log a denial, and end a request whose client has gone; tells whether there was none."""
         if denial is None:
             return True
-        log.seldom(denial.value, request=effect.id, endpoint=effect.endpoint.name)
+        log.write_event_limited(denial.value, request=effect.id, endpoint=effect.endpoint.name)
         if denial is Denial.CLIENT_GONE:
             self.feed(ev.Left(effect.id))
         return False
@@ -349,12 +351,14 @@
                 self.pool.connector.drop_idle(effect.endpoint.address)
             raise
         except Drained:
-            return over(Status.CONNECT_FAILED, KEPT)  # by us, which tells nothing of the endpoint
+            return over(
+                Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT
+            )  # by us, which tells nothing of the endpoint
         except Stale:
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, KEPT)
+            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             if sent.denied or told.denied or failed_here(error):
-                return over(Status.CONNECT_FAILED, KEPT)
+                return over(Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
             # Guards against a machine that is cut off, which gives no sign: the next request on a connection
             # kept from before would wait in silence again, while a new one fails as soon as a connect may.
             self.pool.connector.drop_idle(effect.endpoint.address)
@@ -422,6 +426,6 @@
         if status in (Status.TIMEOUT, Status.CONNECT_FAILED):
             # Guards against connections from before the cut, on which the next request would wait in vain.
             self.pool.connector.drop_idle(effect.endpoint.address)
-            log.seldom("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
+            log.write_event_limited("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
         took = timedelta(seconds=self.loop.time() - begun)
         self.feed(ev.Probed(effect.server, status, took, load))
