--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -1,4 +1,4 @@
-"""A model of a fleet, its links and its engine, on the real `Holder` and the lab's store."""
+"""Discrete-event model of a fleet, its network and etcd, around the real `LeaseStateMachine`."""
 
 import heapq
 from dataclasses import dataclass, field
@@ -33,7 +33,7 @@
 
 @dataclass
 class Outage:
-    """What becomes of a member's calls for some ms: `lost` or slow on the way there, or on the way back."""
+    """Fault of a member's network for `length` ms: requests or replies are lost or delayed."""
 
     member_index: int
     start: int
@@ -46,14 +46,14 @@
 class Member:
     machine: LeaseStateMachine
     clock_rate: float
-    action_until: float = 0.0  # true time at which its last act is over
+    action_until: float = 0.0  # true time at which its last action ends
     revokes: list = field(default_factory=list)
 
 
 class World:
-    """Plays members with clocks of their own; `spans` holds [begin, end, member] in true ms.
+    """Simulates members with clocks of their own. `action_spans` lists [begin, end, member] in true ms.
 
-    In a span a member is told that it may act, or acts that it could have begun are under way."""
+    During a span the member may act, or an action that it may have started is still running."""
 
     def __init__(self, terms, clock_rates, outages, machine_class=LeaseStateMachine):
         self.store, self.outages, self.now_ms = Store(), outages, 0.0
@@ -62,7 +62,7 @@
         ]
         self.terms, self.action_spans, self.queue, self.scheduled = terms, [], [], 0
 
-    def local(self, member):
+    def local_time(self, member):
         return ms(self.now_ms) * member.clock_rate
 
     def schedule(self, delay, callback):
@@ -84,20 +84,20 @@
                 assert isinstance(effect, TenureStarted | TenureEnded)
 
     def poll_watch(self, member_index, revision):
-        """Play a watch: it is told of the key's end a little later."""
+        """Simulate a watch, which reports the deletion of the key a little later."""
         if any(change.deleted for change in self.store.since(revision, KEY)):
             self.deliver(member_index, KeyDeleted())
         elif self.members[member_index].machine.phase.value == "waiting":
             self.schedule(20, lambda: self.poll_watch(member_index, revision))
 
     def send(self, member_index, effect):
-        """Send a call; its caller gives up after CALL ms of its own clock."""
+        """Send a call. Its caller times out after CALL_TIMEOUT_MS of its own clock."""
         active_outages = [
             o
             for o in self.outages
             if o.member_index == member_index and o.start <= self.now_ms < o.start + o.length
         ]
-        outage_kinds, delay_ms, answered = (
+        outage_kinds, delay_ms, completed = (
             {o.kind for o in active_outages},
             max((o.delay_ms for o in active_outages), default=0),
             [],
@@ -106,8 +106,8 @@
         if not isinstance(effect, Revoke):
 
             def give_up():
-                if not answered:
-                    answered.append(True)
+                if not completed:
+                    completed.append(True)
                     self.deliver(member_index, CallFailed(effect.sent_at, lease_id))
 
             self.schedule(CALL_TIMEOUT_MS / self.members[member_index].clock_rate, give_up)
@@ -116,8 +116,8 @@
             event = self.serve(member_index, effect)
 
             def deliver_reply():
-                if event is not None and not answered:
-                    answered.append(True)
+                if event is not None and not completed:
+                    completed.append(True)
                     self.deliver(member_index, event)
 
             if "reply lost" not in outage_kinds:
@@ -134,37 +134,37 @@
                 self.store.revoke(now, effect.lease_id)
             return None
         if isinstance(effect, Renew):
-            left = self.store.renew(now, effect.lease_id)
-            return (Renewed if left else LeaseExpired)(effect.sent_at, effect.lease_id)
+            remaining_ttl = self.store.renew(now, effect.lease_id)
+            return (Renewed if remaining_ttl else LeaseExpired)(effect.sent_at, effect.lease_id)
         lease_id = self.store.grant(now, self.terms.ttl)
-        free = [Compare(KEY, "created", "=", 0)]
+        key_absent = [Compare(KEY, "created", "=", 0)]
         try:
-            acquired, found = self.store.txn(
-                now, free, [Put(KEY, str(member_index).encode(), lease_id)], [Range(KEY)]
+            acquired, responses = self.store.txn(
+                now, key_absent, [Put(KEY, str(member_index).encode(), lease_id)], [Range(KEY)]
             )
         except NoLease:
             return CallFailed(effect.sent_at, lease_id)
         if acquired:
             return Acquired(effect.sent_at, lease_id, self.store.revision)
-        return HeldByOther(effect.sent_at, lease_id, self.store.revision, found[0][0].value.decode())
+        return HeldByOther(effect.sent_at, lease_id, self.store.revision, responses[0][0].value.decode())
 
     def deliver(self, member_index, event):
         member = self.members[member_index]
-        self.perform(member_index, member.machine.handle(self.local(member), event))
+        self.perform(member_index, member.machine.handle(self.local_time(member), event))
 
-    def run(self, until, step=10):
-        """Go on in steps; whoever may act is taken to, for as long as an act may take."""
-        while self.now_ms < until:
-            step_end = self.now_ms + step
+    def run(self, end_ms, step_ms=10):
+        """Run in steps. A member that may act starts an action of the maximum duration at each step."""
+        while self.now_ms < end_ms:
+            step_end = self.now_ms + step_ms
             while self.queue and self.queue[0][0] <= step_end:
                 self.now_ms, _, callback = heapq.heappop(self.queue)
                 callback()
             self.now_ms = step_end
             for member_index, member in enumerate(self.members):
                 next_wakeup = member.machine.next_wakeup()
-                if next_wakeup is not None and next_wakeup <= self.local(member):
+                if next_wakeup is not None and next_wakeup <= self.local_time(member):
                     self.deliver(member_index, Tick())
-                if member.machine.may_act(self.local(member)) is not None:
+                if member.machine.may_act(self.local_time(member)) is not None:
                     under_way = member.action_until >= self.now_ms
                     member.action_until = self.now_ms + self.terms.action_timeout / MS / member.clock_rate
                     if (
@@ -184,7 +184,7 @@
 
 
 class NoDriftMargin(LeaseTerms):
-    """Terms without the margin: a holder takes its lease to live for all of its time."""
+    """Faulty terms without a drift margin: the lease is taken to live for its whole TTL."""
 
     @property
     def safe_lifetime(self):
@@ -192,7 +192,7 @@
 
 
 class CountsFromReply(LeaseStateMachine):
-    """A holder that counts its time from when an answer came, not from when its call went out."""
+    """Faulty state machine that counts the lease time from the reply instead of from the send of the call."""
 
     def handle(self, now, event):
         if isinstance(event, Renewed) and self.is_current(event):
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""Several real conductors, the engine's stand-in and links with faults: one holder at a time."""
+"""Leader election with several real conductors, a fake etcd and network faults: one holder at a time."""
 
 import time
 
@@ -11,69 +11,69 @@
 TTL = drill.TTL
 
 
-def holder(at, length, kind, **what):
-    return Fault(at, length, "holder", 0, {"kind": kind, "what": what})
+def holder_fault(at, length, kind, **settings):
+    return Fault(at, length, "holder", 0, {"kind": kind, "what": settings})
 
 
 FIXED = {
-    "the holder cut off from the engine": Schedule("cut", 3, 6.5, (holder(1.5, 4.0, "link", cut=True),)),
-    "the holder stopped past its lease, then resumed": Schedule(
+    "holder partitioned from etcd": Schedule("cut", 3, 6.5, (holder_fault(1.5, 4.0, "link", cut=True),)),
+    "holder suspended past its lease, then resumed": Schedule(
         "stop",
         3,
         7,
-        (holder(1.5, 3.5, "stop"),),
+        (holder_fault(1.5, 3.5, "stop"),),
     ),
-    "slow replies at the edge of the time to live": Schedule(
+    "replies delayed by about the TTL": Schedule(
         "slow",
         3,
         7,
         (
-            holder(1.5, 4.0, "link", reply_ms=[250, 2100]),
+            holder_fault(1.5, 4.0, "link", reply_ms=[250, 2100]),
             Fault(2.0, 3.0, "link", 1, {"request_ms": [200, 1900]}),
         ),
     ),
-    "the engine restarts and loses its leases": Schedule(
+    "etcd restarts and loses its leases": Schedule(
         "lost", 3, 5, (Fault(2.0, 0.1, "engine", 0, {"restart": "lose_leases"}),)
     ),
-    "clocks that run fast and slow, and a holder that hears nothing": Schedule(
+    "clock drift, and a holder that receives no replies": Schedule(
         "skew",
         3,
         6.5,
-        (holder(1.5, 4.0, "link", drop_replies=1.0),),
+        (holder_fault(1.5, 4.0, "link", drop_replies=1.0),),
         (1 - drill.DRIFT, 1 + drill.DRIFT, 1.0),
         fenced=False,
     ),
-    "acts that are late on their way past the lease": Schedule(
+    "actions delayed in the network past the lease": Schedule(
         "late",
         3,
         7,
         (
-            holder(1.5, 1.0, "act", request_ms=[2300, 2600]),
-            holder(1.6, 4.0, "link", cut=True),
+            holder_fault(1.5, 1.0, "act", request_ms=[2300, 2600]),
+            holder_fault(1.6, 4.0, "link", cut=True),
         ),
     ),
 }
 
 
 @pytest.mark.parametrize("name", FIXED)
-def test_two_holders_never_act_at_once(name):
+def test_at_most_one_holder_acts_at_a_time(name):
     found = drill.play(FIXED[name])
     assert found.problems == []
     assert len(found.tenures()) >= 2, "the fault ends a tenure, and another conductor takes over"
     assert [line for line in found.events if line["event"] in ("loop_fault", "task_broke")] == []
 
 
-def test_without_the_engine_tasks_stop_and_requests_go_on(tmp_path):
+def test_without_etcd_leader_tasks_stop_and_requests_continue(tmp_path):
     found = drill.play(Schedule("gone", 2, 6, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),)))
     assert found.problems == []
     acts = sorted(act.begun for act in found.acts)
-    quiet = max(b - a for a, b in zip(acts, acts[1:], strict=False))
-    assert quiet > 1.5, "nobody acts while nothing is heard of the engine"
+    longest_gap = max(b - a for a, b in zip(acts, acts[1:], strict=False))
+    assert longest_gap > 1.5, "no action while etcd is unreachable"
     lost = [line["reason"] for line in found.events if line["event"] == "lease_lost"]
     assert "not renewed in time" in lost
 
 
-def test_a_holder_that_ends_in_order_hands_over_at_once():
+def test_graceful_shutdown_of_the_holder_hands_the_lease_over_at_once():
     begun = time.monotonic()
     found = drill.play(Schedule("order", 2, 3, ()))
     assert found.problems == [] and time.monotonic() - begun < 15
@@ -98,11 +98,11 @@
         ([act("a", 1, 0, 2), act("a", 2, 1, 3)], False, 1),
     ],
 )
-def test_the_checker_finds_acts_that_overlap_and_tokens_that_fall(acts, everywhere, count):
+def test_checker_finds_overlapping_actions_and_decreasing_tokens(acts, everywhere, count):
     assert len(problems(acts, everywhere)) == count
 
 
-def test_a_seed_draws_the_same_schedule_each_time_and_unfenced_ones_only_what_a_margin_stands():
+def test_a_seed_draws_the_same_schedule_and_unfenced_schedules_have_only_faults_within_the_safety_margin():
     assert draw(5, 4, TTL, 0.02) == draw(5, 4, TTL, 0.02) != draw(6, 4, TTL, 0.02)
     for seed in range(60):
         for fault in draw(seed, 4, TTL, 0.02, fenced=False).faults:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""The choices of a lease's holder: by the model, by cases, and against the engine's stand-in."""
+"""Leader election: the state machine in a fleet model and in single cases, and the client on a fake etcd."""
 
 import asyncio
 from datetime import timedelta
@@ -49,61 +49,66 @@
 
 @DETERMINISTIC
 @given(OUTAGES, CLOCK_RATES)
-def test_no_two_holders_act_at_once_whatever_links_and_clocks_do(outages, clock_rates):
+def test_at_most_one_holder_acts_despite_network_faults_and_clock_drift(outages, clock_rates):
     assert World(TERMS, clock_rates, outages).run(9_000).overlaps() == []
 
 
 @DETERMINISTIC
 @given(OUTAGES, CLOCK_RATES)
-def test_once_links_are_well_somebody_holds_the_lease(outages, clock_rates):
+def test_a_holder_is_elected_once_the_network_recovers(outages, clock_rates):
     world = World(TERMS, clock_rates, outages).run(14_000)
-    assert max(end for _, end, _ in world.action_spans) > 14_000, "the last outage ends by 8 s"
+    assert max(end for _, end, _ in world.action_spans) > 14_000, (
+        "no holder at the end, although the last outage ends by 8 s"
+    )
 
 
 def search_cases():
-    """Give every case of a small search: slow answers for a while, then calls that are lost."""
-    for slow in range(400, 2000, 200):
-        for lost in range(slow + 200, slow + 1000, 200):
-            outages = [Outage(0, slow, 600, "slow reply", 290), Outage(0, lost, 3000, "request lost")]
+    """Yield combinations of outages and clock rates: first slow replies, then lost requests."""
+    for slow_from in range(400, 2000, 200):
+        for lost_from in range(slow_from + 200, slow_from + 1000, 200):
+            outages = [
+                Outage(0, slow_from, 600, "slow reply", 290),
+                Outage(0, lost_from, 3000, "request lost"),
+            ]
             yield from ((outages, clock_rates) for clock_rates in ((0.95, 1.0), (1.0, 1.0), (0.95, 1.05)))
 
 
 @pytest.mark.parametrize(
-    ("terms", "kind"),
+    ("terms", "machine_class"),
     [
         (copy_terms(TERMS, NoDriftMargin), LeaseStateMachine),
         (TERMS, CountsFromReply),
     ],
 )
-def test_the_search_finds_two_holders_once_the_margin_is_taken_away(terms, kind):
+def test_two_holders_overlap_without_the_safety_margin(terms, machine_class):
     violating = [
-        case for case in search_cases() if World(terms, case[1], case[0], kind).run(5_000).overlaps()
+        case for case in search_cases() if World(terms, case[1], case[0], machine_class).run(5_000).overlaps()
     ]
     assert violating
     still_violating = [case for case in violating if World(TERMS, case[1], case[0]).run(5_000).overlaps()]
-    assert still_violating == [], "and the margin keeps them apart in those cases"
+    assert still_violating == [], "the safety margin prevents the overlap in the same cases"
 
 
 def holding_machine(terms=TERMS, seed=1):
-    """Give a holder that asked at 0 ms and won its lease."""
+    """Return a state machine that campaigned at 0 ms and acquired the lease."""
     machine = LeaseStateMachine(terms, seed)
     assert machine.handle(ms(0), Tick()) == [Campaign(ms(0))]
     assert machine.handle(ms(10), Acquired(ms(0), 7, 42)) == [TenureStarted(terms.epoch << 44 | 42)]
     return machine
 
 
-def test_a_holder_renews_in_time_and_acts_only_where_an_act_ends_before_the_lease_can():
+def test_holder_renews_and_acts_only_if_the_action_ends_before_the_lease_can_expire():
     machine = holding_machine()
     assert machine.next_wakeup() == TERMS.renew_interval
     assert machine.handle(TERMS.renew_interval, Tick()) == [Renew(TERMS.renew_interval, 7)]
     last = ms(2000) * 0.9 - ms(200)
     assert machine.may_act(last) and machine.may_act(last + ms(1)) is None
     machine.handle(ms(700), Renewed(TERMS.renew_interval, 7))
-    assert machine.may_act(last + ms(1)), "counted from when the renewal was sent"
+    assert machine.may_act(last + ms(1)), "the lease counts from when the renewal was sent"
     assert machine.may_act(last + TERMS.renew_interval + ms(1)) is None
 
 
-def test_a_renewal_that_fails_is_tried_again_and_without_one_the_tenure_ends():
+def test_failed_renewal_is_retried_and_the_tenure_ends_without_success():
     machine = holding_machine()
     machine.handle(TERMS.renew_interval, Tick())
     assert machine.handle(ms(1000), CallFailed(TERMS.renew_interval, 7)) == []
@@ -113,7 +118,7 @@
     assert [type(e) for e in ended] == [TenureEnded, Revoke] and machine.phase is Phase.BACKING_OFF
 
 
-def test_an_answer_to_an_older_call_changes_nothing():
+def test_reply_to_an_older_call_is_ignored():
     machine = holding_machine()
     machine.handle(TERMS.renew_interval, Tick())
     valid_until = machine.valid_until
@@ -122,42 +127,42 @@
     assert machine.valid_until == valid_until and machine.phase is Phase.HOLDING
 
 
-def test_a_lease_that_the_engine_lost_ends_the_tenure_at_once():
+def test_expired_lease_ends_the_tenure_at_once():
     machine = holding_machine()
     machine.handle(TERMS.renew_interval, Tick())
     assert [type(e) for e in machine.handle(ms(700), LeaseExpired(TERMS.renew_interval, 7))] == [TenureEnded]
     assert machine.may_act(ms(700)) is None
 
 
-def test_an_answer_that_came_too_late_to_act_by_gives_the_lease_back():
+def test_lease_granted_too_late_is_revoked():
     machine = LeaseStateMachine(TERMS, 1)
     machine.handle(ms(0), Tick())
     assert machine.handle(ms(1700), Acquired(ms(0), 7, 42)) == [Revoke(7)]
     assert machine.phase is Phase.BACKING_OFF
 
 
-def test_an_ask_that_failed_half_way_gives_back_what_it_may_hold():
+def test_partly_failed_campaign_revokes_its_lease():
     machine = LeaseStateMachine(TERMS, 1)
     machine.handle(ms(0), Tick())
     assert machine.handle(ms(300), CallFailed(ms(0), 7)) == [Revoke(7)]
-    assert machine.handle(ms(310), Acquired(ms(0), 8, 42)) == [Revoke(8)], "nor is a late answer taken up"
+    assert machine.handle(ms(310), Acquired(ms(0), 8, 42)) == [Revoke(8)], "the late reply is not accepted"
 
 
-def test_pauses_grow_with_failures_are_drawn_and_bounded():
-    pauses = set()
+def test_backoff_grows_with_failures_has_jitter_and_is_bounded():
+    backoffs = set()
     for seed in range(5):
         machine, now = LeaseStateMachine(TERMS, seed), ms(0)
         for _ in range(12):
             (campaign,) = machine.handle(now, Tick())
             machine.handle(now, CallFailed(campaign.sent_at, 0))
-            pause, now = machine.next_at - now, machine.next_at
-            assert pause <= TERMS.max_backoff
-        pauses.add(pause)
-        assert pause >= TERMS.max_backoff / 2
-    assert len(pauses) == 5
+            backoff, now = machine.next_at - now, machine.next_at
+            assert backoff <= TERMS.max_backoff
+        backoffs.add(backoff)
+        assert backoff >= TERMS.max_backoff / 2
+    assert len(backoffs) == 5
 
 
-def test_a_stop_ends_the_tenure_and_a_taken_key_is_watched():
+def test_stop_ends_the_tenure_and_a_key_held_by_another_is_watched():
     machine = holding_machine()
     assert [type(e) for e in machine.handle(ms(20), Stop())] == [TenureEnded, Revoke]
     assert machine.next_wakeup() is None
@@ -167,7 +172,7 @@
     assert [type(e).__name__ for e in effects] == ["Revoke", "Watch"] and effects[1].revision == 51
 
 
-def test_a_raised_epoch_outweighs_any_revision():
+def test_higher_epoch_outranks_any_revision():
     low, high = (
         holding_machine(),
         holding_machine(LeaseTerms(ttl=ms(2000), action_timeout=ms(200), drift=0.05, epoch=2)),
@@ -186,15 +191,15 @@
         ({"min_backoff": ms(3000)}, "least_ms: "),
     ],
 )
-def test_terms_that_cannot_be_kept_are_refused(terms, text):
+def test_invalid_lease_terms_are_rejected(terms, text):
     with pytest.raises(ValueError, match=text):
         LeaseTerms(**{"ttl": ms(2000), "action_timeout": ms(200), **terms})
 
 
-# --- the engine's stand-in
+# --- the fake etcd
 
 
-def test_the_store_takes_a_leases_keys_with_it_in_one_revision_and_compacts_history():
+def test_store_deletes_the_keys_of_a_lease_in_one_revision_and_compacts_history():
     store = Store()
     lease = store.grant(ms(0), ms(1000))
     store.txn(ms(0), [], [Put(b"a", b"1", lease), Put(b"b", b"2", lease)], [])
@@ -208,23 +213,23 @@
         store.since(2, b"a")
     with pytest.raises(NoLease):
         store.txn(ms(0), [], [Delete(b"a"), Put(b"a", b"1", lease)], [])
-    assert store.revision == 3, "a refused transaction changes nothing"
+    assert store.revision == 3, "a rejected transaction changes nothing"
 
 
-def test_the_client_speaks_with_the_stand_in_as_with_the_gateway():
-    async def play():
+def test_client_works_with_the_fake_etcd():
+    async def run_test():
         async with Engine() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
             try:
                 lease = await etcd.grant(5)
-                is_ours, created, holder = await etcd.acquire_key(b"k", b"me", lease)
+                is_ours, create_revision, holder = await etcd.acquire_key(b"k", b"me", lease)
                 assert (is_ours, holder) == (True, "me")
-                assert await etcd.acquire_key(b"k", b"me", lease) == (True, created, "me"), (
-                    "a call that came twice"
+                assert await etcd.acquire_key(b"k", b"me", lease) == (True, create_revision, "me"), (
+                    "a call that was delivered twice"
                 )
                 other = await etcd.grant(5)
                 is_ours, revision, holder = await etcd.acquire_key(b"k", b"you", other)
-                assert (is_ours, revision >= created, holder) == (False, True, "me")
+                assert (is_ours, revision >= create_revision, holder) == (False, True, "me")
                 wait_deleted = asyncio.create_task(etcd.wait_deleted(b"k", revision + 1))
                 await asyncio.sleep(0.05)
                 assert not wait_deleted.done()
@@ -238,11 +243,11 @@
             finally:
                 await etcd.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_a_watch_from_a_compacted_revision_is_over_at_once_and_a_restart_breaks_one():
-    async def play():
+def test_watch_from_a_compacted_revision_returns_at_once_and_a_restart_breaks_a_watch():
+    async def run_test():
         async with Engine() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
             try:
@@ -258,11 +263,11 @@
             finally:
                 await etcd.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_an_engine_that_does_not_answer_is_left_for_the_next_one():
-    async def play():
+def test_client_fails_over_to_the_next_address():
+    async def run_test():
         async with Engine() as unresponsive, Engine() as healthy:
             await unresponsive.apply({"pause_s": 5})
             etcd = EtcdClient([unresponsive.address, healthy.address], timedelta(milliseconds=100))
@@ -273,11 +278,11 @@
             finally:
                 await etcd.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_the_stand_in_words_what_is_wrong_as_the_gateway_does():
-    async def play():
+def test_fake_etcd_reports_errors_like_the_gateway():
+    async def run_test():
         async with Engine() as engine, aiohttp.ClientSession() as session:
 
             async def post(path, body):
@@ -289,4 +294,4 @@
             assert status == 400 and "compacted" in reply["message"]
             assert (await post("/v3/lease/grant", {}))[0] == 400
 
-    asyncio.run(play())
+    asyncio.run(run_test())
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""What conductors share: budgets by a model, counts, verdicts, and rounds at the engine's stand-in."""
+"""Shared state: budgets in a fleet model, counts, outlier detection, and synchronization on a fake etcd."""
 
 import asyncio
 import heapq
@@ -27,23 +27,23 @@
 
 
 class SpendsUntilLeaseEnd(Quota):
-    """A purse whose slice is spent until its lease may end, not until a window before that."""
+    """Faulty quota that spends its slice until the lease can expire, not until a window before that."""
 
-    def on_lease_renewed(self, sent, safe_lifetime):
-        self.valid_until = max(self.valid_until, sent + safe_lifetime)
+    def on_lease_renewed(self, sent_at, safe_lifetime):
+        self.valid_until = max(self.valid_until, sent_at + safe_lifetime)
 
 
 class WritesReductionAtOnce(Quota):
-    """A purse whose cut is written at once, not a window later."""
+    """Faulty quota that writes a reduction at once instead of a window later."""
 
-    def target_slice(self, now, members, others):
+    def target_slice(self, now, members, granted_to_others):
         if self.reduced_at is not None:
             self.reduced_at = now - self.budget.window
-        return super().target_slice(now, members, others)
+        return super().target_slice(now, members, granted_to_others)
 
 
 class SendsWithoutRecheck(Quota):
-    """A purse that lets a send go once it was decided on, however long ago."""
+    """Faulty quota that never rejects a send after the decision, however long ago that was."""
 
     def spend_reserved(self, now):
         if not super().spend_reserved(now):
@@ -52,21 +52,21 @@
 
 
 class FleetModel:
-    """Members that spend all they may; an outage cuts a member off from the engine for some ms.
+    """Members that spend all they may. An outage partitions a member from etcd for some ms.
 
-    A decided send goes some ms later. A stall holds a member, with all it does and decided, for some ms."""
+    A send goes out 10 ms after the decision. A stall suspends a member and its pending sends for some ms."""
 
-    def __init__(self, rates, join_times, outages, quota_class=Quota, seed=1, stalls=()):
-        self.stalls, self.pending_sends = stalls, [deque() for _ in rates]
+    def __init__(self, clock_rates, join_times, outages, quota_class=Quota, seed=1, stalls=()):
+        self.stalls, self.pending_sends = stalls, [deque() for _ in clock_rates]
         self.store, self.rng, self.now_ms = Store(), random.Random(seed), 0
-        self.rates, self.join_times, self.outages = rates, join_times, outages
-        self.quotas = [quota_class(BUDGET) for _ in rates]
-        self.leases, self.granted = [0] * len(rates), {}  # at the engine, by member: (lease, amount)
-        self.spends, self.queue = [], [(join_times[index], index) for index in range(len(rates))]
+        self.clock_rates, self.join_times, self.outages = clock_rates, join_times, outages
+        self.quotas = [quota_class(BUDGET) for _ in clock_rates]
+        self.leases, self.granted = [0] * len(clock_rates), {}  # in etcd, by member: (lease, amount)
+        self.spends, self.queue = [], [(join_times[index], index) for index in range(len(clock_rates))]
         heapq.heapify(self.queue)
 
     def local_time(self, index):
-        return ms(self.now_ms) * self.rates[index]
+        return ms(self.now_ms) * self.clock_rates[index]
 
     def is_stalled(self, index):
         return any(w == index and start <= self.now_ms < start + length for w, start, length in self.stalls)
@@ -75,7 +75,7 @@
         return any(w == index and start <= self.now_ms < start + length for w, start, length in self.outages)
 
     def sync_member(self, index):
-        """Renew, read and write as `Sharing.round` does; a member that is cut off changes nothing."""
+        """Renew, read and write as `FleetSync.sync_once` does, unless partitioned or stalled."""
         now, quota = ms(self.now_ms), self.quotas[index]
         self.store.expire(now)
         self.granted = {m: (lease, a) for m, (lease, a) in self.granted.items() if lease in self.store.leases}
@@ -108,8 +108,8 @@
         return self
 
     def max_spent(self):
-        """Give the most that was spent in any window of the fastest clock."""
-        window, found, first = BUDGET.window / ms(1) / max(*self.rates, 1.0), 0, 0
+        """Return the maximum spent in any window of the fastest clock."""
+        window, found, first = BUDGET.window / ms(1) / max(*self.clock_rates, 1.0), 0, 0
         for last, at in enumerate(self.spends):
             while self.spends[first] <= at - window:
                 first += 1
@@ -121,39 +121,39 @@
     st.tuples(st.integers(0, 2), st.integers(500, 6000), st.integers(300, 4000)),
     max_size=5,
 )
-RATES = st.lists(st.sampled_from([0.95, 1.0, 1.05]), min_size=2, max_size=3)
+CLOCK_RATES = st.lists(st.sampled_from([0.95, 1.0, 1.05]), min_size=2, max_size=3)
 
 
 @DETERMINISTIC
-@given(RATES, OUTAGES, st.integers(0, 4000), OUTAGES)
-@example([0.95, 0.95, 0.95], [(1, 500, 2461)], 2951, [])  # a cut within the window of another
-def test_the_fleet_never_spends_over_the_bound_whoever_is_cut_off(rates, outages, late, stalls):
-    join_times = [0, *[late] * (len(rates) - 1)]
-    assert FleetModel(rates, join_times, outages, stalls=stalls).run(9000).max_spent() <= BUDGET.bound
+@given(CLOCK_RATES, OUTAGES, st.integers(0, 4000), OUTAGES)
+@example([0.95, 0.95, 0.95], [(1, 500, 2461)], 2951, [])  # a reduction within the window of another
+def test_fleet_never_exceeds_the_budget_during_partitions_and_stalls(clock_rates, outages, late_join, stalls):
+    join_times = [0, *[late_join] * (len(clock_rates) - 1)]
+    assert FleetModel(clock_rates, join_times, outages, stalls=stalls).run(9000).max_spent() <= BUDGET.bound
 
 
 @DETERMINISTIC
-@given(RATES)
-def test_a_fleet_that_hears_the_engine_spends_most_of_the_bound(rates):
-    assert FleetModel(rates, [0] * len(rates), []).run(5000).max_spent() >= BUDGET.bound * 0.6
+@given(CLOCK_RATES)
+def test_connected_fleet_uses_most_of_the_budget(clock_rates):
+    assert FleetModel(clock_rates, [0] * len(clock_rates), []).run(5000).max_spent() >= BUDGET.bound * 0.6
 
 
 def overspending_cases(quota_class):
     found = []
     for start in range(600, 3000, 300):
         for join in range(0, 4000, 400):
-            for rates in ((0.95, 1.0), (1.0, 1.0)):
-                fleet = FleetModel(rates, [0, join], [(0, start, 4000)], quota_class).run(7000)
-                found += [(start, join, rates)] if fleet.max_spent() > BUDGET.bound else []
+            for clock_rates in ((0.95, 1.0), (1.0, 1.0)):
+                fleet = FleetModel(clock_rates, [0, join], [(0, start, 4000)], quota_class).run(7000)
+                found += [(start, join, clock_rates)] if fleet.max_spent() > BUDGET.bound else []
     return found
 
 
 @pytest.mark.parametrize("quota_class", [SpendsUntilLeaseEnd, WritesReductionAtOnce])
-def test_the_search_finds_an_overspend_once_slices_are_not_void_before_they_are_granted_again(quota_class):
+def test_fleet_overspends_if_slices_are_not_void_before_they_are_granted_again(quota_class):
     assert overspending_cases(quota_class)
 
 
-def test_the_search_finds_an_overspend_once_what_was_decided_before_a_standstill_goes_after_it():
+def test_fleet_overspends_if_sends_decided_before_a_stall_go_out_after_it():
     def max_spent(quota_class, start):
         return (
             FleetModel((1.0, 1.0), [0, 0], [], quota_class, stalls=[(0, start, 4000)])
@@ -166,16 +166,16 @@
     assert all(max_spent(Quota, start) <= BUDGET.bound for start in starts)
 
 
-def test_a_booked_send_keeps_its_room_and_goes_only_while_it_fits():
+def test_reserved_send_counts_against_the_quota_and_goes_out_only_while_it_fits():
     quota = Quota(Budget(bound=10, window=ms(500), max_members=1, reserve=0.2))
     quota.on_lease_renewed(ms(0), ms(2000))
     quota.on_slice_written(8.0)
     for _ in range(10):
         assert quota.may_spend(ms(100))
         quota.reserve_send(ms(100))
-    assert not quota.may_spend(ms(599)), "all of it is booked"
+    assert not quota.may_spend(ms(599)), "everything is reserved"
     assert [quota.spend_reserved(ms(550)) for _ in range(10)] == [True] * 10
-    assert not quota.may_spend(ms(1049)) and quota.may_spend(ms(1050)), "and spent when it went"
+    assert not quota.may_spend(ms(1049)) and quota.may_spend(ms(1050)), "sends count from when they went out"
     for _ in range(10):
         quota.reserve_send(ms(1400))
     assert [quota.spend_reserved(ms(1600)) for _ in range(10)] == [False] * 8 + [True] * 2, (
@@ -184,17 +184,17 @@
     assert overspending_cases(Quota) == []
 
 
-def test_a_conductor_that_hears_nothing_falls_back_to_its_floor():
+def test_disconnected_conductor_falls_back_to_its_floor():
     quota = Quota(BUDGET)
     quota.on_lease_renewed(ms(0), TERMS.safe_lifetime)
     quota.on_slice_written(quota.target_slice(ms(0), 1, 0.0))
     assert quota.allowance(ms(100)) == BUDGET.bound - 3 * BUDGET.floor
     assert quota.allowance(TERMS.safe_lifetime - BUDGET.window) == BUDGET.floor, (
-        "a window before the lease can end"
+        "a window before the lease can expire"
     )
 
 
-def test_in_a_fleet_larger_than_the_bound_some_hold_what_a_whole_send_needs():
+def test_in_a_fleet_larger_than_the_bound_some_conductors_can_send():
     budget = Budget(bound=20, window=ms(500), max_members=50, reserve=0.3)
     quotas, granted = [Quota(budget) for _ in range(50)], []
     for quota in quotas:
@@ -205,13 +205,13 @@
     assert spending == 15 and sum(granted) <= budget.pool
 
 
-def test_a_second_cut_is_written_a_window_after_itself():
+def test_second_reduction_is_written_one_window_after_itself():
     quota = Quota(BUDGET)
     quota.on_lease_renewed(ms(0), ms(100_000))
     quota.on_slice_written(quota.target_slice(ms(0), 1, 0.0))
     quota.target_slice(ms(10), 2, 0.0)
     assert quota.target_slice(ms(400), 4, 0.0) == quota.granted and quota.spendable == BUDGET.pool / 4
-    assert quota.target_slice(ms(600), 4, 0.0) == quota.granted, "not a window after the first"
+    assert quota.target_slice(ms(600), 4, 0.0) == quota.granted, "the second reduction restarts the window"
     assert quota.target_slice(ms(900), 4, 0.0) == BUDGET.pool / 4
 
 
@@ -219,11 +219,13 @@
     quota = Quota(BUDGET)
     quota.on_lease_renewed(ms(0), ms(100_000))
     quota.on_slice_written(quota.target_slice(ms(0), 1, 0.0))
-    assert quota.target_slice(ms(10), 2, 0.0) == quota.granted, "the cut is written a window later"
-    assert quota.spendable == BUDGET.pool / 2, "but spent by at once"
+    assert quota.target_slice(ms(10), 2, 0.0) == quota.granted, "the reduction is written a window later"
+    assert quota.spendable == BUDGET.pool / 2, "but limits spending at once"
     assert quota.target_slice(ms(510), 2, 0.0) == BUDGET.pool / 2
     quota.on_slice_written(BUDGET.pool / 2)
-    assert quota.target_slice(ms(600), 1, 0.0) == BUDGET.pool, "and back as the other goes"
+    assert quota.target_slice(ms(600), 1, 0.0) == BUDGET.pool, (
+        "the slice grows again once the other member has left"
+    )
 
 
 @pytest.mark.parametrize(
@@ -235,14 +237,14 @@
         ({"window": ms(0)}, "window_ms: "),
     ],
 )
-def test_budgets_that_bound_nothing_are_refused(fields, text):
+def test_invalid_budgets_are_rejected(fields, text):
     with pytest.raises(ValueError, match=text):
         Budget(**{"bound": 1.0, "window": ms(1), "max_members": 1, **fields})
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.sampled_from("ab"), st.integers(0, 5))), st.randoms())
 @DETERMINISTIC
-def test_counts_agree_whatever_the_order_and_number_of_reports(adds, rng):
+def test_counts_converge_for_any_order_and_repetition_of_reports(adds, rng):
     counters, reports = [GrowOnlyCounter(f"p{n}") for n in range(3)], []
     for index, name, more in adds:
         counters[index].increment(name, more)
@@ -261,17 +263,17 @@
 LISTED = ["a", "b", "c", "d"]
 
 
-def test_the_fleet_avoids_an_endpoint_after_so_many_failures_of_all_and_for_a_stated_time():
+def test_endpoint_is_ejected_after_enough_failures_fleet_wide_and_for_a_limited_time():
     detector = OutlierDetector(OutlierRule(min_failures=3, ejection_time=ms(4000)))
     detector.record_failure(ms(0), "a")
     detector.merge(ms(100), "other", {"a": [ms(50)]})
     assert detector.ejected(ms(100), LISTED) == {}
     detector.merge(ms(200), "third", {"a": [ms(0)]})
     assert detector.ejected(ms(200), LISTED) == {"a": ms(4000)}
-    assert detector.ejected(ms(4001), LISTED) == {}, "however long the reports stay"
+    assert detector.ejected(ms(4001), LISTED) == {}, "regardless of how long the reports remain"
 
 
-def test_an_answer_takes_back_our_own_evidence_alone():
+def test_success_discards_only_local_failures():
     detector = OutlierDetector(OutlierRule(min_failures=1))
     detector.record_failure(ms(0), "a")
     detector.record_success("a")
@@ -281,16 +283,16 @@
     assert "a" in detector.ejected(ms(0), LISTED)
 
 
-def test_a_conductor_that_tells_of_most_endpoints_is_not_heard_and_half_stay_in_use():
+def test_report_on_most_endpoints_is_ignored_and_half_of_the_endpoints_stay_in_use():
     detector = OutlierDetector(OutlierRule(min_failures=2))
     detector.merge(ms(0), "ill", {name: [ms(0), ms(0)] for name in "abc"})
     assert detector.ejected(ms(0), LISTED) == {}
-    for index, names in (("x", "ab"), ("y", "bc"), ("z", "cd")):
-        detector.merge(ms(0), index, {name: [ms(0), ms(0)] for name in names})
-    assert sorted(detector.ejected(ms(0), LISTED)) == ["b", "c"], "the surest two"
+    for conductor, names in (("x", "ab"), ("y", "bc"), ("z", "cd")):
+        detector.merge(ms(0), conductor, {name: [ms(0), ms(0)] for name in names})
+    assert sorted(detector.ejected(ms(0), LISTED)) == ["b", "c"], "the two with the most failures"
 
 
-def test_a_late_report_counts_from_when_its_failures_were():
+def test_late_report_counts_from_the_time_of_its_failures():
     detector = OutlierDetector(OutlierRule(min_failures=1, ejection_time=ms(1000)))
     detector.merge(ms(5000), "other", {"a": [ms(400)]}, report_age=ms(700))
     assert detector.ejected(ms(5000), LISTED) == {}
@@ -309,15 +311,15 @@
     return sync, sync.quota_for("cold/x", BUDGET)
 
 
-async def rounds(*syncs, times=6):
+async def sync_rounds(*syncs, times=6):
     for _ in range(times):
         for sync in syncs:
             await sync.sync_once()
         await asyncio.sleep(0.15)
 
 
-def test_rounds_share_slices_counts_and_verdicts_and_give_them_back():
-    async def play():
+def test_sync_shares_slices_counts_and_failures_and_releases_slices():
+    async def run_test():
         async with Engine() as engine:
             (one, quota), (two, other) = member(engine, "one"), member(engine, "two")
             try:
@@ -327,39 +329,39 @@
                 two.counter.increment("only/answered", 4)
                 one.outliers.record_failure(one.now(), "e")
                 two.outliers.record_failure(two.now(), "e")
-                await rounds(one, two)
+                await sync_rounds(one, two)
                 assert quota.granted == other.granted == BUDGET.pool / 2 and one.members == two.members == 2
                 assert one.counter.total() == two.counter.total() == {"only/answered": 7}
                 assert set(two.outliers.ejected(two.now(), ["e", "f"])) == {"e"}
                 await one.stop()
-                await rounds(two, times=2)
+                await sync_rounds(two, times=2)
                 assert other.granted == BUDGET.pool and two.members == 1
-                assert two.counter.total() == {"only/answered": 7}, "what an ended process counted stays"
+                assert two.counter.total() == {"only/answered": 7}, "the counts of a stopped process remain"
             finally:
                 await one.engine.close()
                 await two.engine.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_two_raises_at_the_same_moment_do_not_both_pass():
-    async def play():
+def test_concurrent_increases_do_not_both_commit():
+    async def run_test():
         async with Engine() as engine:
             pair = [member(engine, name) for name in ("one", "two")]
             try:
                 await asyncio.gather(*(sync.sync_once() for sync, _ in pair))
                 assert sum(quota.granted for _, quota in pair) <= BUDGET.pool
-                await rounds(*(sync for sync, _ in pair))
+                await sync_rounds(*(sync for sync, _ in pair))
                 assert sum(quota.granted for _, quota in pair) == BUDGET.pool
             finally:
                 for sync, _ in pair:
                     await sync.engine.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_what_others_wrote_badly_holds_nothing_and_breaks_nothing():
-    async def play():
+def test_malformed_values_of_other_processes_are_ignored():
+    async def run_test():
         async with Engine() as engine:
             sync, quota = member(engine, "one")
             try:
@@ -370,11 +372,11 @@
             finally:
                 await sync.engine.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
-def test_a_lost_lease_voids_slices_until_they_are_granted_anew():
-    async def play():
+def test_lost_lease_voids_slices_until_they_are_granted_again():
+    async def run_test():
         async with Engine() as engine:
             sync, quota = member(engine, "one")
             try:
@@ -387,4 +389,4 @@
             finally:
                 await sync.engine.close()
 
-    asyncio.run(play())
+    asyncio.run(run_test())
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -1,4 +1,4 @@
-"""Real conductors that share budgets, counts and verdicts, under load and faults."""
+"""Real conductors that share budgets, counts and failure reports, under load and faults."""
 
 import pytest
 
@@ -8,10 +8,10 @@
 
 SLOW = {"reply_ms": [150, 900], "request_ms": [0, 300]}
 FIXED = {
-    "a minority is cut off past its slices": Schedule(
+    "a minority is partitioned past the term of its slices": Schedule(
         "cut", 3, 8, (Fault(1.5, 5, "link", 0, {"cut": True}),)
     ),
-    "the engine is slow at the edge of the terms": Schedule(
+    "etcd replies are delayed by about the lease terms": Schedule(
         "slow",
         3,
         8,
@@ -21,7 +21,9 @@
             Fault(3, 2, "engine", 0, {"delay_ms": 240}),
         ),
     ),
-    "a conductor stands still past its slices": Schedule("stop", 3, 8, (Fault(1.5, 4, "stop", 0),)),
+    "a conductor is suspended past the term of its slices": Schedule(
+        "stop", 3, 8, (Fault(1.5, 4, "stop", 0),)
+    ),
     "half of the fleet is restarted": Schedule(
         "kill",
         4,
@@ -31,7 +33,7 @@
             Fault(1.6, 2.5, "kill", 1),
         ),
     ),
-    "a link that drops one way, and clocks off by the drift": Schedule(
+    "one-way packet loss, and clocks off by the maximum drift": Schedule(
         "way",
         3,
         8,
@@ -45,39 +47,39 @@
 
 
 @pytest.mark.parametrize("name", FIXED)
-def test_the_bound_of_each_cold_endpoint_holds_and_counts_agree_after_healing(name):
+def test_budget_of_each_cold_endpoint_holds_and_counts_converge_after_recovery(name):
     found = play(Fleet(FIXED[name]))
     assert found.problems == []
-    assert max(found.most.values()) > found.bound / 3, "and the budget is used"
+    assert max(found.most.values()) > found.bound / 3, "the budget is used"
     killed = sum(fault.kind == "kill" for fault in FIXED[name].faults)
     assert len(found.totals) == FIXED[name].conductors
-    assert all(total == found.totals[0] for total in found.totals), "all agree"
+    assert all(total == found.totals[0] for total in found.totals), "all conductors report the same counts"
     if not killed:
-        whole = {}
+        expected = {}
         for counts in found.mine:
-            whole = {key: whole.get(key, 0) + count for key, count in counts.items()}
-        assert found.totals[0] == whole, "on the sum of what each counted"
+            expected = {key: expected.get(key, 0) + count for key, count in counts.items()}
+        assert found.totals[0] == expected, "the counts are the sum of what each conductor counted"
     assert [line for line in found.events if line["event"] in ("loop_fault", "task_broke")] == []
 
 
-def test_an_endpoint_that_fails_is_avoided_by_all_after_few_failures_and_not_for_long():
+def test_failing_endpoint_is_ejected_fleet_wide_for_a_limited_time():
     drill = Fleet(Schedule("fail", 4, 9, ()), per_second=20, warm=3, cold=0)
     drill.failing = (1.5, 3.5)
     found = play(drill)
     assert found.problems == []
     avoided = {line["who"] for line in found.events if line["event"] == "endpoint_avoided"}
-    assert avoided == {"c0", "c1", "c2", "c3"}, "whoever met the failures"
-    times = [at - found.begun for at, _ in found.sends["r0"]]
-    during = sum(2.0 < at < 3.5 for at in times)
-    usual = sum(0.2 < at < 1.4 for at in times) / 1.2 * 1.5
-    assert during < usual / 3, "after the first half second hardly any request goes there"
-    back = min(at for at in times if at > 3.5 + 0.3)
-    assert back < 3.5 + KEEP_MS / 1000 + TTL + 8, "the stated time"
+    assert avoided == {"c0", "c1", "c2", "c3"}, "also conductors that observed no failure themselves"
+    send_times = [at - found.begun for at, _ in found.sends["r0"]]
+    during = sum(2.0 < at < 3.5 for at in send_times)
+    baseline = sum(0.2 < at < 1.4 for at in send_times) / 1.2 * 1.5
+    assert during < baseline / 3, "half a second later hardly any request is sent to it"
+    returned_at = min(at for at in send_times if at > 3.5 + 0.3)
+    assert returned_at < 3.5 + KEEP_MS / 1000 + TTL + 8, "requests return within the time limit"
     welcome = [line for line in found.events if line["event"] == "endpoint_welcome"]
     assert welcome
 
 
-def test_without_the_engine_each_conductor_keeps_to_its_floor_and_requests_go_on():
+def test_without_etcd_each_conductor_stays_within_its_floor_and_requests_continue():
     found = play(Fleet(Schedule("gone", 2, 7, (Fault(0.0, 7, "engine", 0, {"pause_s": 7}),)), per_second=30))
     assert found.problems == []
     floor = fleet.BOUND * 0.3 / 2
