--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -18,7 +18,7 @@
 from hoplane import config as configuration
 from hoplane import log
 from hoplane.config import Config, ConfigError, Unreadable
-from hoplane.core.events import Reloaded
+from hoplane.core.events import SettingsReloaded
 from hoplane.core.pacing import Pacing
 from hoplane.core.transient import EXHAUSTED
 from hoplane.decision.interface import State
@@ -138,7 +138,7 @@
         except ConfigError as error:
             log.write_event("reload_failed", error=str(error))
             for runtime in self.front.runtimes:
-                runtime.feed(Reloaded(None))
+                runtime.feed(SettingsReloaded(None))
             return
         self.unread = 0
         self.watch, self.watching = watch, asyncio.create_task(watch.watch())
--- a/hoplane/core/events.py
+++ b/hoplane/core/events.py
@@ -1,9 +1,12 @@
-"""What goes into the reducer and the effects that it asks for. Plain data; nothing happens here."""
+"""The reducer's input events and the effects that it returns. Plain data without behaviour.
+
+`log_name` is a class's name in log lines. Operators' tools match it, so it stays when a class is renamed."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from datetime import timedelta
+from typing import ClassVar
 
 from hoplane.decision.interface import Settings, State, Status
 
@@ -12,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A model server as discovery tells it; `started` is on the reducer's clock, zero for long ago."""
+    """A model server as listed by discovery. `started` is on the reducer's clock; zero means long ago."""
 
     name: str
     address: str
@@ -28,119 +31,162 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """A client's request, taken: one final answer is owed. `once` is the id under which it may run once."""
+class RequestReceived:
+    """A client's request was accepted; it gets exactly one final answer.
+
+    `idempotency_key` identifies a request that must not run twice; None for one that may."""
+
+    log_name: ClassVar[str] = "Asked"
 
     id: str
-    cls: str
-    prompt: int
-    max_out: int
-    patience: timedelta
+    class_name: str
+    prompt_tokens: int
+    max_output_tokens: int
+    time_left: timedelta
     session: str | None = None
     prefix: str | None = None
-    prefix_len: int = 0
+    prefix_tokens: int = 0
     tenant: str | None = None
     retry: bool = False
     resumed: bool = False
-    once: str | None = None
+    idempotency_key: str | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
-    """The client is gone."""
+class ClientDisconnected:
+    """The client closed its connection."""
+
+    log_name: ClassVar[str] = "Left"
 
     id: str
 
 
 @dataclass(slots=True, frozen=True)
-class Began:
-    """The first event of an attempt's answer is being passed on."""
+class ResponseStarted:
+    """The first event of an attempt's response is about to be sent to the client."""
+
+    log_name: ClassVar[str] = "Began"
 
     id: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
-    """An attempt is over, and its connection free or closed."""
+class AttemptEnded:
+    """An attempt has ended; its connection is idle again or closed.
+
+    `written`: the last byte of the request may have been written to the endpoint."""
+
+    log_name: ClassVar[str] = "Ended"
 
     id: str
     attempt: int
     status: Status
-    note: int = 0
+    detail: int = 0
     load: dict[str, float] = field(default_factory=dict)
-    written: bool = True  # whether its last byte may have been written to the endpoint
+    written: bool = True
 
 
 @dataclass(slots=True, frozen=True)
-class HoldAnswered:
-    """What came of a hold: held, not held, or (None) not known. `silent`: the endpoint did not answer."""
+class ReservationFinished:
+    """Result of a `Reserve` call: reserved, not reserved, or None if unknown.
+
+    `unanswered`: the endpoint sent no answer."""
+
+    log_name: ClassVar[str] = "HoldAnswered"
 
     id: str
     attempt: int
-    held: bool | None
-    silent: bool = False
+    reserved: bool | None
+    unanswered: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Probed:
-    """What came of a probe of an endpoint."""
+class ProbeFinished:
+    """Result of a health probe of an endpoint."""
+
+    log_name: ClassVar[str] = "Probed"
 
     server: int
     status: Status
-    took: timedelta
+    duration: timedelta
     load: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
-class Due:
-    """A timer asked for with Wake has come."""
+class TimerFired:
+    """A timer set with `SetTimer` has expired."""
+
+    log_name: ClassVar[str] = "Due"
 
     timer: object
 
 
 @dataclass(slots=True, frozen=True)
-class Listed:
-    """The list of endpoints, whole or the entries that changed.
+class EndpointsUpdated:
+    """The endpoint list changed. `complete`: this is the full list, else only the changed entries.
 
-    `unread` names those whose entries could not be read: what was known of them stays."""
+    `unreadable` names endpoints whose entries could not be parsed; their previous entries stay valid."""
+
+    log_name: ClassVar[str] = "Listed"
 
     endpoints: tuple[Endpoint, ...]
-    whole: bool
-    unread: tuple[str, ...] = ()
+    complete: bool
+    unreadable: tuple[str, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Turned:
-    """A request of a class that the front answered itself, before the reducer took it: refused or failed."""
+class RequestRejectedAtFront:
+    """The front answered a request itself, before the reducer saw it. `refused`: refused, else failed."""
+
+    log_name: ClassVar[str] = "Turned"
 
-    cls: str
+    class_name: str
     refused: bool
 
 
 @dataclass(slots=True, frozen=True)
-class Reloaded:
-    """A file was read anew at SIGHUP: its settings hold for what comes, or (None) it was turned down."""
+class SettingsReloaded:
+    """The configuration file was reloaded on SIGHUP. `settings` is None if the file was invalid.
+
+    New settings apply to requests that arrive from now on."""
+
+    log_name: ClassVar[str] = "Reloaded"
 
     settings: Settings | None
 
 
 @dataclass(slots=True, frozen=True)
-class Judged:
-    """The fleet finds that an endpoint fails its requests; the module avoids it for a while."""
+class EndpointReportedFailing:
+    """The fleet's shared error rate reports an endpoint as failing; the module avoids it for a while."""
+
+    log_name: ClassVar[str] = "Judged"
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
-class Closing:
-    """A request is broken off, as the process will be killed and its client asks elsewhere for the rest."""
+class RequestInterrupted:
+    """A request ends early because the process is about to be killed; its client resumes it elsewhere."""
+
+    log_name: ClassVar[str] = "Closing"
 
     id: str
 
 
 Event = (
-    Asked | Left | Began | Ended | HoldAnswered | Probed | Due | Listed | Turned | Reloaded | Judged | Closing
+    RequestReceived
+    | ClientDisconnected
+    | ResponseStarted
+    | AttemptEnded
+    | ReservationFinished
+    | ProbeFinished
+    | TimerFired
+    | EndpointsUpdated
+    | RequestRejectedAtFront
+    | SettingsReloaded
+    | EndpointReportedFailing
+    | RequestInterrupted
 )
 
 
@@ -149,31 +195,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Forward:
-    """Open an attempt: send the request to an endpoint, which is told `patience`.
+    """Start an attempt: send the request to an endpoint, along with its `time_left`.
+
+    `at_most_once`: the request must not run twice, so the last byte is withheld as long as possible to know
+    for certain that an attempt did not run.
+    `repeat_until`: the attempt must start before this time, when endpoints stop discarding duplicates."""
 
-    `once`: it must not run twice, so it has to be known for as long as may be that it cannot have run.
-    `until`: when it has to begin, as endpoints discard repeats of what may have run for so long only."""
+    log_name: ClassVar[str] = "Forward"
 
     id: str
     attempt: int
     endpoint: Endpoint
-    patience: timedelta
-    reads: bool
-    once: bool = False
-    until: timedelta | None = None
+    time_left: timedelta
+    is_read: bool
+    at_most_once: bool = False
+    repeat_until: timedelta | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Abandon:
-    """Give an attempt up by closing its connection; its Ended is still awaited."""
+class AbandonAttempt:
+    """Close an attempt's connection. Its `AttemptEnded` still follows."""
+
+    log_name: ClassVar[str] = "Abandon"
 
     id: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
-class AskHold:
-    """Ask an endpoint to hold a place, once the reading attempt's last byte is out."""
+class Reserve:
+    """Make a reservation at an endpoint once the last byte of the read attempt is sent."""
+
+    log_name: ClassVar[str] = "AskHold"
 
     id: str
     attempt: int
@@ -182,55 +235,72 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask an endpoint for a sign of life."""
+    """Send a health probe to an endpoint."""
+
+    log_name: ClassVar[str] = "Probe"
 
     server: int
     endpoint: Endpoint
 
 
 @dataclass(slots=True, frozen=True)
-class LetGo:
-    """Release what is held for a request: any endpoint takes the call; those that had part in it first."""
+class Release:
+    """Release all state and reservations of a request. Any endpoint accepts the call.
+
+    `endpoints`: those that took part in the request; they are tried first.
+    `delay`: time to wait before the first call.
+    `held_since`: when something may first have been held, on the reducer's clock.
+    `repeat`: a read was cut off and may still complete later, so one release is not enough."""
+
+    log_name: ClassVar[str] = "LetGo"
 
     id: str
     endpoints: tuple[Endpoint, ...]
-    wait: timedelta = ZERO
-    left: timedelta | None = None  # since when something may be held, on the reducer's clock
-    again: bool = False  # a read was cut off and may end well later, so that one release is not enough
+    delay: timedelta = ZERO
+    held_since: timedelta | None = None
+    repeat: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, trying again is harmless, after a pause, None where none may be told."""
+    """Final answer: refused; retrying is harmless. `retry_after` is None where no advice may be given."""
+
+    log_name: ClassVar[str] = "Refuse"
 
     id: str
-    pause: timedelta | None
-    why: str
+    retry_after: timedelta | None
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, nothing is promised. `clash`: its id may have run before."""
+    """Final answer: failed; the request may have run. `duplicate`: its id may have run before."""
+
+    log_name: ClassVar[str] = "Fail"
 
     id: str
-    why: str
-    clash: bool = False
+    reason: str
+    duplicate: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
-    """Feed a Due back at a clock time."""
+class SetTimer:
+    """Deliver a `TimerFired` event at a time on the reducer's clock."""
+
+    log_name: ClassVar[str] = "Wake"
 
     at: timedelta
     timer: object
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
-    """A line for the log."""
+class WriteLog:
+    """Write a log line."""
+
+    log_name: ClassVar[str] = "Say"
 
     event: str
-    facts: dict[str, object]
+    fields: dict[str, object]
 
 
-Effect = Forward | Abandon | AskHold | Probe | LetGo | Refuse | Fail | Wake | Say
+Effect = Forward | AbandonAttempt | Reserve | Probe | Release | Refuse | Fail | SetTimer | WriteLog
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -46,7 +46,7 @@
 class Request:
     """A request taken, until its last attempt and hold are in."""
 
-    asked: ev.Asked
+    asked: ev.RequestReceived
     taken: timedelta
     deadline: timedelta
     cap: int | None = None  # attempts, and its class, as the settings were when it came
@@ -107,7 +107,7 @@
         return listed is not None and listed.state is api.State.LIVE
 
     def may_send(
-        self, effect: ev.Forward | ev.AskHold, now: timedelta, client_gone: bool, deadline: timedelta | None
+        self, effect: ev.Forward | ev.Reserve, now: timedelta, client_gone: bool, deadline: timedelta | None
     ) -> Denial | None:
         """Tell whether an attempt's bytes, or a place's request, may go now; see `core/permits.py`."""
         request, attempt = self.requests.get(effect.id), None
@@ -122,7 +122,7 @@
                 request is None or request.closed or request.began or given_up,
                 self.takes(effect.endpoint),
                 deadline,
-                forward and forward.until,
+                forward and forward.repeat_until,
                 None if forward or attempt is None else not attempt.over,
             )
         )
@@ -163,9 +163,9 @@
     releasing = set()
     for each in HANDLERS[type(event)](state, now, event):
         # A release may be asked for more than once, at an attempt's end and at the request's: one is enough.
-        if type(each) is not ev.LetGo or each.id not in releasing:
+        if type(each) is not ev.Release or each.id not in releasing:
             yield each
-        if type(each) is ev.LetGo:
+        if type(each) is ev.Release:
             releasing.add(each.id)
 
 
@@ -184,35 +184,35 @@
 # --- events
 
 
-def on_asked(state: Conductor, now: timedelta, event: ev.Asked) -> Iterator[ev.Effect]:
+def on_asked(state: Conductor, now: timedelta, event: ev.RequestReceived) -> Iterator[ev.Effect]:
     """Take a request, unless its id is in use or may have run."""
-    once = event.once
+    once = event.idempotency_key
     if event.id in state.requests or (once and state.ledger.clashes(once, now)):
-        state.figures.count(event.cls, "errored")
-        yield ev.Fail(event.id, "its id is running or may have run", clash=True)
+        state.figures.count(event.class_name, "errored")
+        yield ev.Fail(event.id, "its id is running or may have run", duplicate=True)
         return
     if once and state.ledger.full:
-        state.figures.count(event.cls, "deferred")
+        state.figures.count(event.class_name, "deferred")
         yield ev.Refuse(event.id, told_pause(state, timedelta(seconds=1)), "the ledger of ids is full")
         return
     if once:
         state.ledger.start(once)
     told = state.settings
-    cls = next((each for each in told.classes if each.name == event.cls), None)
-    state.requests[event.id] = Request(event, now, now + event.patience, told.max_attempts, cls)
-    yield ev.Wake(now + event.patience + BACKSTOP, (event.id, None, now))
+    cls = next((each for each in told.classes if each.name == event.class_name), None)
+    state.requests[event.id] = Request(event, now, now + event.time_left, told.max_attempts, cls)
+    yield ev.SetTimer(now + event.time_left + BACKSTOP, (event.id, None, now))
     yield from decide(
         state,
         now,
         api.Request(
             event.id,
-            event.cls,
-            event.prompt,
-            event.max_out,
-            to_ns(event.patience),
+            event.class_name,
+            event.prompt_tokens,
+            event.max_output_tokens,
+            to_ns(event.time_left),
             event.session,
             event.prefix,
-            event.prefix_len,
+            event.prefix_tokens,
             None,
             event.tenant,
             event.retry,
@@ -222,7 +222,7 @@
     yield from sweep_up(state, now, event.id)
 
 
-def on_left(state: Conductor, now: timedelta, event: ev.Left) -> Iterator[ev.Effect]:
+def on_left(state: Conductor, now: timedelta, event: ev.ClientDisconnected) -> Iterator[ev.Effect]:
     """Owe nothing to a client that is gone, and end what is out for it, a stream too."""
     if request := state.requests.get(event.id):
         request.owed = False
@@ -240,7 +240,7 @@
     yield from sweep_up(state, now, request.asked.id)
 
 
-def on_began(state: Conductor, now: timedelta, event: ev.Began) -> Iterator[ev.Effect]:
+def on_began(state: Conductor, now: timedelta, event: ev.ResponseStarted) -> Iterator[ev.Effect]:
     """Bind the answer to the client: the deadline runs no more from here on."""
     request = state.requests.get(event.id)
     if request is None or request.closed:
@@ -253,7 +253,7 @@
     )
 
 
-def on_ended(state: Conductor, now: timedelta, event: ev.Ended) -> Iterator[ev.Effect]:
+def on_ended(state: Conductor, now: timedelta, event: ev.AttemptEnded) -> Iterator[ev.Effect]:
     """Book an attempt as over and let the module go on."""
     request = state.requests.get(event.id)
     if request is None or request.attempts[event.attempt].over:
@@ -266,7 +266,7 @@
     if event.written and status is not Status.CONNECT_FAILED:
         state.figures.sends += 1
     if attempt.began:
-        state.figures.count(request.asked.cls, "answered" if status is Status.OK else "errored")
+        state.figures.count(request.asked.class_name, "answered" if status is Status.OK else "errored")
     if attempt.began or status is Status.OK:
         request.closed = True
     if status in MAY_HAVE_RUN:
@@ -290,45 +290,45 @@
             status,
             to_ns(now - attempt.sent),
             request.closed,
-            event.note,
+            event.detail,
             event.load,
         ),
     )
     yield from sweep_up(state, now, event.id)
 
 
-def on_hold_answered(state: Conductor, now: timedelta, event: ev.HoldAnswered) -> Iterator[ev.Effect]:
+def on_hold_answered(state: Conductor, now: timedelta, event: ev.ReservationFinished) -> Iterator[ev.Effect]:
     """Tell the module of a place while the read is out; one that may be held unknown is let go at the end."""
     request = state.requests.get(event.id)
     if request is None:
         return
     request.holds -= 1
-    request.cut = request.cut or event.held is None
+    request.cut = request.cut or event.reserved is None
     attempt = request.attempts[event.attempt]
-    if event.held is None and not event.silent and not attempt.over and not request.closed:
+    if event.reserved is None and not event.unanswered and not attempt.over and not request.closed:
         # The endpoint knew of no read: ours has not arrived, or arrived behind. If it is not over by the time
         # that a place may be held, it may not have arrived at all, and what has not arrived stops no clock.
-        yield ev.Wake(now + state.place_time(), Place(request.asked.id, event.attempt, request.taken))
-    if event.held is not False and attempt.over and not request.began:
+        yield ev.SetTimer(now + state.place_time(), Place(request.asked.id, event.attempt, request.taken))
+    if event.reserved is not False and attempt.over and not request.began:
         yield from note_left(state, now, request)
-    if event.held is not None and not attempt.over:
+    if event.reserved is not None and not attempt.over:
         yield from decide(
-            state, now, api.ReservationResult(event.id, event.attempt, attempt.server, event.held)
+            state, now, api.ReservationResult(event.id, event.attempt, attempt.server, event.reserved)
         )
-    elif request.closed and not request.began and event.held is not False:
+    elif request.closed and not request.began and event.reserved is not False:
         yield let_go(state, request)
     yield from sweep_up(state, now, event.id)
 
 
-def on_probed(state: Conductor, now: timedelta, event: ev.Probed) -> Iterator[ev.Effect]:
+def on_probed(state: Conductor, now: timedelta, event: ev.ProbeFinished) -> Iterator[ev.Effect]:
     """Tell the module whether an endpoint has shown a sign of life."""
     if event.server in state.fleet:
         yield from decide(
-            state, now, api.ProbeResult(event.server, event.status, to_ns(event.took), event.load)
+            state, now, api.ProbeResult(event.server, event.status, to_ns(event.duration), event.load)
         )
 
 
-def on_due(state: Conductor, now: timedelta, event: ev.Due) -> Iterator[ev.Effect]:
+def on_due(state: Conductor, now: timedelta, event: ev.TimerFired) -> Iterator[ev.Effect]:
     """Fire the module's timer, or one of ours: an attempt's time-out or the client's deadline."""
     if isinstance(event.timer, int):
         yield from decide(state, now, api.TimerFired(event.timer))
@@ -358,13 +358,13 @@
     yield from sweep_up(state, now, id)
 
 
-def on_listed(state: Conductor, now: timedelta, event: ev.Listed) -> Iterator[ev.Effect]:
+def on_listed(state: Conductor, now: timedelta, event: ev.EndpointsUpdated) -> Iterator[ev.Effect]:
     """Bring the fleet level. An endpoint of a kind that the settings do not name is left out."""
     kinds = {kind.name for kind in state.settings.kinds}
     known = {state.number(each.name): each for each in event.endpoints if each.kind in kinds}
-    kept = {state.numbers.get(name) for name in event.unread} & set(state.fleet)
+    kept = {state.numbers.get(name) for name in event.unreadable} & set(state.fleet)
     known = {**{number: state.fleet[number] for number in kept}, **known}
-    if event.whole:
+    if event.complete:
         for number in set(state.fleet) - set(known):
             del state.fleet[number]
     state.fleet.update(known)
@@ -378,11 +378,11 @@
         for number, each in known.items()
     )
     states = {each.name: each.state.value for each in known.values() if each.state is not api.State.LIVE}
-    yield ev.Say("endpoints", {"whole": event.whole, "known": len(state.fleet), "not_live": states})
-    yield from decide(state, now, api.ServerListUpdate(entries, event.whole))
+    yield ev.WriteLog("endpoints", {"whole": event.complete, "known": len(state.fleet), "not_live": states})
+    yield from decide(state, now, api.ServerListUpdate(entries, event.complete))
 
 
-def on_reloaded(state: Conductor, now: timedelta, event: ev.Reloaded) -> Iterator[ev.Effect]:
+def on_reloaded(state: Conductor, now: timedelta, event: ev.SettingsReloaded) -> Iterator[ev.Effect]:
     """Put a new file's settings in force for requests from now on, or count it as turned down."""
     if event.settings is None:
         state.figures.conf_invalid += 1
@@ -390,23 +390,23 @@
     state.figures.conf_loaded += 1
     state.settings = replace(event.settings, kinds=state.settings.kinds)  # kinds wait for a start
     retune(state.router, state.settings)
-    yield ev.Say("retuned", {"classes": [each.name for each in event.settings.classes]})
+    yield ev.WriteLog("retuned", {"classes": [each.name for each in event.settings.classes]})
 
 
-def on_turned(state: Conductor, now: timedelta, event: ev.Turned) -> Iterator[ev.Effect]:
+def on_turned(state: Conductor, now: timedelta, event: ev.RequestRejectedAtFront) -> Iterator[ev.Effect]:
     """Count what a front answered by itself."""
-    state.figures.count(event.cls, "deferred" if event.refused else "errored")
+    state.figures.count(event.class_name, "deferred" if event.refused else "errored")
     yield from ()
 
 
-def on_judged(state: Conductor, now: timedelta, event: ev.Judged) -> Iterator[ev.Effect]:
+def on_judged(state: Conductor, now: timedelta, event: ev.EndpointReportedFailing) -> Iterator[ev.Effect]:
     """Let the module avoid an endpoint, as it does on a peer's word."""
     number = state.numbers.get(event.endpoint)
     if number in state.fleet:
         yield from decide(state, now, api.PeerMessage(0, Word(Symptom.DOWN, number).pack()))
 
 
-def on_closing(state: Conductor, now: timedelta, event: ev.Closing) -> Iterator[ev.Effect]:
+def on_closing(state: Conductor, now: timedelta, event: ev.RequestInterrupted) -> Iterator[ev.Effect]:
     """End a request: a stream that has begun is broken off, for its client to go on elsewhere.
 
     Guards against requests that SIGKILL would leave without an answer: it comes with what is out."""
@@ -416,18 +416,18 @@
 
 
 HANDLERS: dict[type, Callable[..., Iterable[ev.Effect]]] = {
-    ev.Asked: on_asked,
-    ev.Left: on_left,
-    ev.Began: on_began,
-    ev.Ended: on_ended,
-    ev.HoldAnswered: on_hold_answered,
-    ev.Probed: on_probed,
-    ev.Due: on_due,
-    ev.Listed: on_listed,
-    ev.Turned: on_turned,
-    ev.Reloaded: on_reloaded,
-    ev.Judged: on_judged,
-    ev.Closing: on_closing,
+    ev.RequestReceived: on_asked,
+    ev.ClientDisconnected: on_left,
+    ev.ResponseStarted: on_began,
+    ev.AttemptEnded: on_ended,
+    ev.ReservationFinished: on_hold_answered,
+    ev.ProbeFinished: on_probed,
+    ev.TimerFired: on_due,
+    ev.EndpointsUpdated: on_listed,
+    ev.RequestRejectedAtFront: on_turned,
+    ev.SettingsReloaded: on_reloaded,
+    ev.EndpointReportedFailing: on_judged,
+    ev.RequestInterrupted: on_closing,
 }
 
 
@@ -458,7 +458,7 @@
         patience = request.deadline - now
         if action.timeout and (own := to_span(action.timeout)) < patience:
             patience = own
-            yield ev.Wake(now + own, (action.request_id, index, request.taken))
+            yield ev.SetTimer(now + own, (action.request_id, index, request.taken))
         reads = role is api.Role.READ
         yield ev.Forward(
             action.request_id,
@@ -480,7 +480,7 @@
     if request is None or endpoint is None or not request.attempts or request.attempts[-1].over:
         return
     request.holds += 1
-    yield ev.AskHold(action.request_id, len(request.attempts) - 1, endpoint)
+    yield ev.Reserve(action.request_id, len(request.attempts) - 1, endpoint)
 
 
 def probe(state: Conductor, now: timedelta, action: api.Probe) -> Iterator[ev.Effect]:
@@ -508,7 +508,7 @@
     request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
-        state.figures.count(request.asked.cls, "deferred")
+        state.figures.count(request.asked.class_name, "deferred")
         yield ev.Refuse(
             action.request_id, told_pause(state, to_span(action.retry_after)), "given up by the module"
         )
@@ -519,7 +519,7 @@
     request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
-        state.figures.count(request.asked.cls, "errored")
+        state.figures.count(request.asked.class_name, "errored")
         yield ev.Fail(action.request_id, "it may have run and may not run again, or its time is over")
 
 
@@ -530,8 +530,8 @@
     api.Cancel: cancel,
     api.Refuse: refuse,
     api.Fail: fail,
-    api.SetTimer: lambda state, now, action: [ev.Wake(to_span(action.at), action.timer)],
-    api.Log: lambda state, now, action: [ev.Say("module", {"text": action.text})],
+    api.SetTimer: lambda state, now, action: [ev.SetTimer(to_span(action.at), action.timer)],
+    api.Log: lambda state, now, action: [ev.WriteLog("module", {"text": action.text})],
 }
 
 
@@ -548,7 +548,7 @@
     attempt = request.attempts[index]
     if not attempt.over and attempt.abandoned is None:
         attempt.abandoned = status
-        yield ev.Abandon(request.asked.id, index)
+        yield ev.AbandonAttempt(request.asked.id, index)
 
 
 def leave(
@@ -566,7 +566,7 @@
 def note_left(state: Conductor, now: timedelta, request: Request) -> Iterator[ev.Effect]:
     """Note that something may be held from now on."""
     request.left = now
-    yield ev.Wake(now + state.hold_time(), Held(request.asked.id, now))
+    yield ev.SetTimer(now + state.hold_time(), Held(request.asked.id, now))
 
 
 def overdue(state: Conductor, now: timedelta, request: Request) -> Iterator[ev.Effect]:
@@ -580,7 +580,7 @@
         yield let_go(state, request)
 
 
-def let_go(state: Conductor, request: Request) -> ev.LetGo:
+def let_go(state: Conductor, request: Request) -> ev.Release:
     """Ask for a release, first at the endpoints that had part in the request and answered, then the last one.
 
     Guards against asking one after the other of those that could not be reached, while the time runs."""
@@ -589,7 +589,7 @@
     answered = [attempt.server for attempt in reversed(request.attempts) if attempt.answered]
     endpoints = tuple(state.fleet[n] for n in dict.fromkeys([*answered, *last]) if n in state.fleet)
     cut_off = any(each.reads and each.abandoned and not each.answered for each in request.attempts)
-    return ev.LetGo(request.asked.id, endpoints, SETTLE if request.cut else ev.ZERO, left, cut_off)
+    return ev.Release(request.asked.id, endpoints, SETTLE if request.cut else ev.ZERO, left, cut_off)
 
 
 def sweep_up(state: Conductor, now: timedelta, id: str) -> Iterator[ev.Effect]:
@@ -604,11 +604,11 @@
     if request.owed and (request.repeatable or not out):
         request.owed = False
         risky = not request.repeatable and request.may_have_run
-        state.figures.count(request.asked.cls, "errored" if risky else "deferred")
+        state.figures.count(request.asked.class_name, "errored" if risky else "deferred")
         why = "the conductor ends"
         yield ev.Fail(id, why) if risky else ev.Refuse(id, told_pause(state, ev.ZERO), why)
     if out or request.holds:
         return
     del state.requests[id]
-    if request.asked.once:
-        state.ledger.end(request.asked.once, now, request.may_have_run)
+    if request.asked.idempotency_key:
+        state.ledger.end(request.asked.idempotency_key, now, request.may_have_run)
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -14,7 +14,7 @@
 
 from hoplane import __version__, log
 from hoplane.config import Config
-from hoplane.core.events import Asked, Forward, Listed, Reloaded
+from hoplane.core.events import EndpointsUpdated, Forward, RequestReceived, SettingsReloaded
 from hoplane.core.invariants import Violation
 from hoplane.decision.interface import ClassSettings, Effect, Role, Settings, State, Status
 from hoplane.net.pool import Pool
@@ -77,7 +77,7 @@
     return value
 
 
-def read_asked(number: str, read: dict, size: int, classes: Mapping[str, ClassSettings]) -> Asked:
+def read_asked(number: str, read: dict, size: int, classes: Mapping[str, ClassSettings]) -> RequestReceived:
     """Translate an inference request; its parameters carry what the core needs to know."""
     told = read.get("parameters", {})
     if not isinstance(told, dict):
@@ -93,7 +93,7 @@
     if id is None and cls.effect is not Effect.SAFE:
         raise ValueError(f"id: is needed, as requests of the class {name} must not run twice")
     patience = timedelta(milliseconds=fact(told, "time_left_ms", int, cls.deadline // 1_000_000))
-    return Asked(
+    return RequestReceived(
         number,
         name,
         fact(told, "prompt_len", int, size // 4),
@@ -104,7 +104,7 @@
         fact(told, "prefix_len", int, 0),
         None,
         fact(told, "repeat", bool, False),
-        once=None if cls.effect is Effect.SAFE else id,
+        idempotency_key=None if cls.effect is Effect.SAFE else id,
     )
 
 
@@ -154,7 +154,7 @@
 class Exchange:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
+    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
         self.asked, self.body, self.path = asked, body, target(request)
         self.headers = {name: request.headers[name] for name in KEPT_HEADERS if name in request.headers}
         self.sink, self.caller = WholeSink(), request.protocol
@@ -175,7 +175,7 @@
         return read_head(status, headers)
 
     def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
-        return self.asked.prefix_len, {}  # v2 endpoints do not tell what they found kept
+        return self.asked.prefix_tokens, {}  # v2 endpoints do not tell what they found kept
 
     def refuse(self, pause: timedelta | None) -> None:
         self.sink.settle(problem(503, "refused: try again later", pause))
@@ -206,9 +206,9 @@
         self.classes = {cls.name: cls for cls in settings.classes}
         self.config = replace(self.config, settings=settings)
         for runtime in self.runtimes:
-            runtime.feed(Reloaded(settings))
+            runtime.feed(SettingsReloaded(settings))
 
-    def feed(self, name: str, listed: Listed) -> None:
+    def feed(self, name: str, listed: EndpointsUpdated) -> None:
         """Take a cluster's list; a cluster seen for the first time is a new model."""
         if name not in self.models:
             self.models[name] = Runtime(self.config, self.pool, LIVE)
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -15,7 +15,15 @@
 
 from hoplane import log
 from hoplane.config import Config, ConfigError, text
-from hoplane.core.events import Asked, Closing, Endpoint, Forward, Listed, Reloaded, Turned
+from hoplane.core.events import (
+    Endpoint,
+    EndpointsUpdated,
+    Forward,
+    RequestInterrupted,
+    RequestReceived,
+    RequestRejectedAtFront,
+    SettingsReloaded,
+)
 from hoplane.decision.interface import Settings, State, Status
 from hoplane.net.aio import waited
 from hoplane.net.runtime import Runtime
@@ -46,7 +54,7 @@
     return STATS if settings.waiting_tokens_field else LIVE
 
 
-def read_list(answer: dict) -> Listed:
+def read_list(answer: dict) -> EndpointsUpdated:
     """Translate discovery's list. An entry that cannot be read is told in the log and changes nothing.
 
     Guards against one bad entry that would hide all others, a drain among them."""
@@ -61,7 +69,7 @@
             name = each.get("name") if isinstance(each, dict) else None
             unread.append(str(name))
             log.write_event_limited("list_entry_bad", entry=at, endpoint=name, error=repr(error))
-    return Listed(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
+    return EndpointsUpdated(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
 
 
 def read_entry(each: dict) -> Endpoint:
@@ -96,7 +104,7 @@
 
 def read_asked(
     headers: Mapping[str, str], classes: Mapping[str, object], tenants: Container[str] = ()
-) -> Asked:
+) -> RequestReceived:
     """Translate a request's headers; a ValueError names what is wrong.
 
     A tenant that the settings do not name counts as none: it is served, within nobody's share."""
@@ -120,7 +128,7 @@
     if max(len(session), len(prefix)) > KEY_MOST:  # guards the module's tables, which keep them for minutes
         raise ValueError(f"{SESSION} and prefix: are at most {KEY_MOST} characters")
     repeat, tenant = headers.get(REPEAT), headers.get(ACCOUNT)
-    return Asked(
+    return RequestReceived(
         id,
         cls,
         lengths["prompt_len"],
@@ -157,7 +165,7 @@
 class Exchange:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
+    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
         self.asked, self.body = asked, body
         self.method, self.path = request.method, target(request)
         self.headers = {"Content-Type": "application/json"}
@@ -231,17 +239,17 @@
         """Break off a part of what is open, the newest first: it has the longest way to go."""
         ids = list(self.runtime.exchanges)
         for id in ids[len(ids) - ceil(part * len(ids)) :]:
-            self.runtime.feed(Closing(id))
+            self.runtime.feed(RequestInterrupted(id))
 
-    def turned(self, asked: Asked, response: web.Response) -> web.Response:
+    def turned(self, asked: RequestReceived, response: web.Response) -> web.Response:
         """Answer a request that the reducer never took, and let the core count it."""
-        self.runtime.feed(Turned(asked.cls, response.status in (429, 503)))
+        self.runtime.feed(RequestRejectedAtFront(asked.class_name, response.status in (429, 503)))
         return response
 
     def retune(self, settings: Settings) -> None:
         """Take requests of the new classes from now on; those taken keep their rules."""
         self.know(settings)
-        self.runtime.feed(Reloaded(settings))
+        self.runtime.feed(SettingsReloaded(settings))
 
     def know(self, settings: Settings) -> None:
         """Take what the headers of requests may name."""
@@ -255,7 +263,7 @@
         response.force_close()
         return response
 
-    async def chat(self, request: web.BaseRequest, asked: Asked) -> web.StreamResponse:
+    async def chat(self, request: web.BaseRequest, asked: RequestReceived) -> web.StreamResponse:
         """Take a request in and wait for its final answer."""
         body = await self.server.read(request)
         if isinstance(body, web.Response):
@@ -274,7 +282,7 @@
         if len(runtime.exchanges) >= self.config.max_open:
             return self.turned(asked, self.busy())
         # The client's time runs since its last byte came, not since we came to read it.
-        asked = replace(asked, patience=max(timedelta(), asked.patience - waited(request.transport)))
+        asked = replace(asked, time_left=max(timedelta(), asked.time_left - waited(request.transport)))
         exchange = Exchange(request, asked, body)
         if self.server.stopping or self.server.leaving is not None:
             exchange.response.force_close()
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -12,7 +12,7 @@
 
 from hoplane import log
 from hoplane.config import Config
-from hoplane.core.events import Listed
+from hoplane.core.events import EndpointsUpdated
 from hoplane.core.pacing import Pacing
 from hoplane.decision.interface import State
 from hoplane.net.pool import Pool
@@ -22,7 +22,12 @@
     """One watch that goes on for ever, from a version that is known."""
 
     def __init__(
-        self, pool: Pool, address: str, read: Callable[[dict], Listed], feed: Callable, pacing: Pacing
+        self,
+        pool: Pool,
+        address: str,
+        read: Callable[[dict], EndpointsUpdated],
+        feed: Callable,
+        pacing: Pacing,
     ) -> None:
         self.pool, self.address, self.read, self.feed = pool, address, read, feed
         self.pacing = pacing
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -74,7 +74,7 @@
                     continue
                 if not began:
                     began = True
-                    self.feed(ev.Began(effect.id, effect.attempt))
+                    self.feed(ev.ResponseStarted(effect.id, effect.attempt))
                     await sink.start()
                 tail = (tail + data)[-TAIL:]
                 await sink.write(data)
@@ -108,7 +108,7 @@
             return Status.ERROR, b""
         if not sink.sound(data):
             return Status.RESET, b""
-        self.feed(ev.Began(effect.id, effect.attempt))
+        self.feed(ev.ResponseStarted(effect.id, effect.attempt))
         await sink.start()
         await sink.write(data)
         await sink.finish()
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -10,7 +10,7 @@
 from hoplane import log
 from hoplane.core import release as releasing
 from hoplane.core.border import to_ns
-from hoplane.core.events import LetGo
+from hoplane.core.events import Release
 from hoplane.core.invariants import Violation
 from hoplane.core.reducer import Conductor
 from hoplane.net.clock import Clock
@@ -33,24 +33,28 @@
         self.pool, self.state, self.clock, self.path, self.report = pool, state, clock, path, report
         self.loop = asyncio.get_running_loop()
 
-    def released(self, effect: LetGo, asked: int) -> None:
+    def released(self, effect: Release, asked: int) -> None:
         """Tell of a release that was taken later than the settings want."""
         limit = self.state.settings.release_within
-        if effect.left is not None and limit and (held := to_ns(self.clock.now() - effect.left)) > limit:
+        if (
+            effect.held_since is not None
+            and limit
+            and (held := to_ns(self.clock.now() - effect.held_since)) > limit
+        ):
             log.write_event_limited("release_late", request=effect.id, held_ms=held // 1_000_000, asked=asked)
             if held > limit + to_ns(HELD_EXTRA):
                 self.report(Violation.HELD_TOO_LONG, effect.id)
 
-    async def release(self, effect: LetGo) -> None:
+    async def release(self, effect: Release) -> None:
         """Release what is held, and again for a read that was cut off, while nothing else is out for it."""
         await self.release_once(effect)
-        for pause in releasing.REPEATS if effect.again else ():
+        for pause in releasing.REPEATS if effect.repeat else ():
             await asyncio.sleep(pause.total_seconds())
             if effect.id in self.state.requests:  # it goes on elsewhere: its end releases all
                 return
-            await self.release_once(replace(effect, left=None))
+            await self.release_once(replace(effect, held_since=None))
 
-    async def release_once(self, effect: LetGo) -> None:
+    async def release_once(self, effect: Release) -> None:
         """Call endpoint after endpoint until one has taken the release, or an answer has begun.
 
         Guards against a release that ends unheard while something is held: what fails at once is no reason to
@@ -58,7 +62,7 @@
         path = self.path(effect.id)
         if path is None:
             return
-        await asyncio.sleep(effect.wait.total_seconds())
+        await asyncio.sleep(effect.delay.total_seconds())
         begun, failures, asked = self.loop.time(), 0, 0
         calls: set[asyncio.Task] = set()
         listed = list(self.state.fleet.values())
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -38,13 +38,15 @@
 
 
 COUNTED: dict[type, Callable[..., str]] = {
-    ev.Asked: lambda each: "asked_again" if each.retry else "asked",
-    ev.Forward: lambda each: "reads" if each.reads else "writes",
-    ev.Ended: lambda each: f"ended_{each.status.value}",
-    ev.AskHold: lambda each: "holds",
-    ev.HoldAnswered: lambda each: "holds_" + {True: "held", False: "none", None: "unknown"}[each.held],
+    ev.RequestReceived: lambda each: "asked_again" if each.retry else "asked",
+    ev.Forward: lambda each: "reads" if each.is_read else "writes",
+    ev.AttemptEnded: lambda each: f"ended_{each.status.value}",
+    ev.Reserve: lambda each: "holds",
+    ev.ReservationFinished: lambda each: (
+        "holds_" + {True: "held", False: "none", None: "unknown"}[each.reserved]
+    ),
     ev.Probe: lambda each: "probes",
-    ev.LetGo: lambda each: "releases",
+    ev.Release: lambda each: "releases",
     ev.Refuse: lambda each: "refused",
     ev.Fail: lambda each: "failed",
 }
@@ -91,14 +93,14 @@
         self.spend: Callable[[ev.Endpoint], bool] = lambda endpoint: True
         self.effects = {
             ev.Forward: self.forward,
-            ev.Abandon: self.abandon,
-            ev.AskHold: self.ask_hold,
+            ev.AbandonAttempt: self.abandon,
+            ev.Reserve: self.ask_hold,
             ev.Probe: self.probe,
-            ev.LetGo: self.let_go,
+            ev.Release: self.let_go,
             ev.Refuse: self.refuse,
             ev.Fail: self.fail,
-            ev.Wake: self.wake,
-            ev.Say: self.say,
+            ev.SetTimer: self.wake,
+            ev.WriteLog: self.say,
         }
 
     def feed(self, event: ev.Event) -> None:
@@ -120,7 +122,7 @@
         counted and logged, and a request that it concerns is answered at the latest as its time is over."""
         effects = []
         try:
-            if type(event) is ev.Listed:
+            if type(event) is ev.EndpointsUpdated:
                 event = self.start_times.convert(event, timedelta(seconds=time.time()), self.clock.now())
             self.count(event)
             effects.extend(steps(self.state, self.clock.now(), event))
@@ -137,7 +139,7 @@
     def broke(self, violation: Violation, what: ev.Event | ev.Effect, error: Exception) -> None:
         """Count and log a fault of ours."""
         self.invariants.note(violation)
-        kind, id = type(what).__name__, getattr(what, "id", None)
+        kind, id = what.log_name, getattr(what, "id", None)
         log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
     def unperformed(self, effect: ev.Effect) -> None:
@@ -145,10 +147,12 @@
         if isinstance(effect, ev.Forward) and (effect.id, effect.attempt) not in self.attempts:
             self.sent.pop((effect.id, effect.attempt), None)
             self.feed(
-                ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT, written=False)
+                ev.AttemptEnded(
+                    effect.id, effect.attempt, Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT, written=False
+                )
             )
-        elif isinstance(effect, ev.AskHold):
-            self.feed(ev.HoldAnswered(effect.id, effect.attempt, False))
+        elif isinstance(effect, ev.Reserve):
+            self.feed(ev.ReservationFinished(effect.id, effect.attempt, False))
 
     @property
     def invariants(self) -> Invariants:
@@ -158,7 +162,7 @@
     async def serve(self, exchange: Exchange, done: asyncio.Future):
         """Take a request in, wait for its final answer and give it; a client that goes ends it."""
         asked = exchange.asked
-        deadline = self.clock.now() + asked.patience
+        deadline = self.clock.now() + asked.time_left
         self.exchanges[asked.id] = exchange
         self.invariants.taken(asked.id, deadline)
         overdue = self.loop.call_at(self.clock.loop_time(deadline + OVERDUE), self.answer_overdue, exchange)
@@ -169,7 +173,7 @@
             return response
         except asyncio.CancelledError:
             self.invariants.left(asked.id)
-            self.feed(ev.Left(asked.id))
+            self.feed(ev.ClientDisconnected(asked.id))
             raise
         finally:
             overdue.cancel()
@@ -184,7 +188,7 @@
             return
         self.report(Violation.ANSWERED_LATE, id)
         exchange.fail(False)
-        self.feed(ev.Left(id))
+        self.feed(ev.ClientDisconnected(id))
 
     def report(self, violation: Violation, id: str = "") -> None:
         """Count and log a violation."""
@@ -205,11 +209,11 @@
 
     def count(self, what: ev.Event | ev.Effect) -> None:
         """Count what the fleet pays for, and how each attempt and place asked for ended."""
-        if self.heed and type(what) is ev.Ended and (request := self.state.requests.get(what.id)):
+        if self.heed and type(what) is ev.AttemptEnded and (request := self.state.requests.get(what.id)):
             endpoint = self.state.fleet.get(request.attempts[what.attempt].server)
             if endpoint is not None:
                 self.heed(endpoint.name, what.status)
-        if type(what) is ev.Began:
+        if type(what) is ev.ResponseStarted:
             self.invariants.began(what.id)
         if name := COUNTED.get(type(what)):
             self.pool.tally[name(what)] += 1
@@ -234,12 +238,12 @@
 
     # --- effects
 
-    def wake(self, effect: ev.Wake) -> None:
-        self.loop.call_at(self.clock.loop_time(effect.at), self.feed, ev.Due(effect.timer))
+    def wake(self, effect: ev.SetTimer) -> None:
+        self.loop.call_at(self.clock.loop_time(effect.at), self.feed, ev.TimerFired(effect.timer))
 
-    def say(self, effect: ev.Say) -> None:
+    def say(self, effect: ev.WriteLog) -> None:
         """Write a line; where endpoints were told to drain, with the moment of the last send to each."""
-        facts = effect.facts
+        facts = effect.fields
         if told := facts.get("not_live"):
             facts = {**facts, "last_sent": {n: self.last_sent[n] for n in told if n in self.last_sent}}
             self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.numbers}
@@ -247,11 +251,11 @@
 
     def refuse(self, effect: ev.Refuse) -> None:
         if exchange := self.exchanges.get(effect.id):
-            exchange.refuse(effect.pause)
+            exchange.refuse(effect.retry_after)
 
     def fail(self, effect: ev.Fail) -> None:
         if exchange := self.exchanges.get(effect.id):
-            exchange.fail(effect.clash)
+            exchange.fail(effect.duplicate)
 
     def forward(self, effect: ev.Forward) -> None:
         key = effect.id, effect.attempt
@@ -259,12 +263,12 @@
         task = self.attempts[key] = self.spawn(self.play(effect, self.exchanges[effect.id]))
         task.add_done_callback(lambda task: self.over(effect, task))
 
-    def sending(self, effect: ev.Forward | ev.AskHold, spends: bool = False) -> Sending:
+    def sending(self, effect: ev.Forward | ev.Reserve, spends: bool = False) -> Sending:
         """Give what is asked, as bytes of a call go, whether they still may (`core/permits.py`).
 
         `spends`: it stands for the request's going, which spends of what the fleet shares. A client whose end
         waits to be read is seen here: an attempt may have waited for a connection, or the loop be behind."""
-        deadline = self.clock.now() + effect.patience if isinstance(effect, ev.Forward) else None
+        deadline = self.clock.now() + effect.time_left if isinstance(effect, ev.Forward) else None
 
         def told() -> Mapping[str, str]:
             """Give the headers that tell of the time left: less than when the attempt was decided on."""
@@ -283,29 +287,29 @@
 
         return Sending(may, told, spend)
 
-    def allowed(self, effect: ev.Forward | ev.AskHold, denial: Denial | None) -> bool:
+    def allowed(self, effect: ev.Forward | ev.Reserve, denial: Denial | None) -> bool:
         """Log a denial, and end a request whose client has gone; tells whether there was none."""
         if denial is None:
             return True
         log.write_event_limited(denial.value, request=effect.id, endpoint=effect.endpoint.name)
         if denial is Denial.CLIENT_GONE:
-            self.feed(ev.Left(effect.id))
+            self.feed(ev.ClientDisconnected(effect.id))
         return False
 
-    def abandon(self, effect: ev.Abandon) -> None:
+    def abandon(self, effect: ev.AbandonAttempt) -> None:
         if task := self.attempts.get((effect.id, effect.attempt)):
             task.cancel()
 
-    def ask_hold(self, effect: ev.AskHold) -> None:
+    def ask_hold(self, effect: ev.Reserve) -> None:
         self.spawn(self.hold(effect))
 
     def probe(self, effect: ev.Probe) -> None:
         self.spawn(self.look(effect))
 
-    def let_go(self, effect: ev.LetGo) -> None:
+    def let_go(self, effect: ev.Release) -> None:
         self.spawn(self.release(effect))
 
-    async def release(self, effect: ev.LetGo) -> None:
+    async def release(self, effect: ev.Release) -> None:
         """Release what is held for a request."""
         await self.releases.release(effect)
 
@@ -322,22 +326,22 @@
         written = sent.is_set()
         sent.set()
         if task.cancelled():
-            self.feed(ev.Ended(*key, Status.CANCELLED, written=written))
+            self.feed(ev.AttemptEnded(*key, Status.CANCELLED, written=written))
         elif task.exception():
-            self.feed(ev.Ended(*key, Status.ERROR, written=written))
+            self.feed(ev.AttemptEnded(*key, Status.ERROR, written=written))
         else:
             self.feed(replace(task.result(), written=written))
 
-    async def play(self, effect: ev.Forward, exchange: Exchange) -> ev.Ended:
+    async def play(self, effect: ev.Forward, exchange: Exchange) -> ev.AttemptEnded:
         """Send the request, and pass its answer on where there is one."""
         sent = self.sent[effect.id, effect.attempt]
 
-        def over(status: Status, note: int = 0, load: dict[str, float] | None = None) -> ev.Ended:
-            return ev.Ended(effect.id, effect.attempt, status, note, load or {})
+        def over(status: Status, note: int = 0, load: dict[str, float] | None = None) -> ev.AttemptEnded:
+            return ev.AttemptEnded(effect.id, effect.attempt, status, note, load or {})
 
         call, begun = exchange.call(effect), self.loop.time()
         headers, data, told = call.headers, call.body, sent
-        if effect.once and data:
+        if effect.at_most_once and data:
             headers = {**headers, "Content-Length": str(len(data))}
             data, told = self.pool.held_back(data, sent), self.sending(effect)
         try:
@@ -383,7 +387,7 @@
             else:
                 answer.close()
 
-    async def hold(self, effect: ev.AskHold) -> None:
+    async def hold(self, effect: ev.Reserve) -> None:
         """Ask for a place once the read is on its way, as no endpoint knows of it before, and until its end.
 
         Guards against a place that is asked for or answered after the read's end: nobody would take it, and
@@ -404,7 +408,7 @@
                 call.cancel()
                 await asyncio.wait({call})
         finally:
-            self.feed(ev.HoldAnswered(effect.id, effect.attempt, held, silent))
+            self.feed(ev.ReservationFinished(effect.id, effect.attempt, held, silent))
 
     async def look(self, effect: ev.Probe) -> None:
         """Ask an endpoint for a sign of life; what tells nothing for sure counts as a reset."""
@@ -428,4 +432,4 @@
             self.pool.connector.drop_idle(effect.endpoint.address)
             log.write_event_limited("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
         took = timedelta(seconds=self.loop.time() - begun)
-        self.feed(ev.Probed(effect.server, status, took, load))
+        self.feed(ev.ProbeFinished(effect.server, status, took, load))
--- a/hoplane/net/start_times.py
+++ b/hoplane/net/start_times.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from datetime import timedelta
 
-from hoplane.core.events import ZERO, Endpoint, Listed
+from hoplane.core.events import ZERO, Endpoint, EndpointsUpdated
 
 
 class StartTimes:
@@ -21,11 +21,11 @@
     def __init__(self) -> None:
         self.known: dict[str, tuple[timedelta, timedelta]] = {}  # by endpoint: as told, as converted
 
-    def convert(self, listed: Listed, wall: timedelta, now: timedelta) -> Listed:
+    def convert(self, listed: EndpointsUpdated, wall: timedelta, now: timedelta) -> EndpointsUpdated:
         """Give a list with its start times on the reducer's clock. `wall` and `now` are this moment."""
         endpoints = tuple(self.converted(each, wall, now) for each in listed.endpoints)
-        if listed.whole:
-            names = {each.name for each in endpoints} | set(listed.unread)
+        if listed.complete:
+            names = {each.name for each in endpoints} | set(listed.unreadable)
             self.known = {name: each for name, each in self.known.items() if name in names}
         return replace(listed, endpoints=endpoints)
 
--- a/hoplane/net/wire.py
+++ b/hoplane/net/wire.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from hoplane.core.events import Asked, Forward
+from hoplane.core.events import Forward, RequestReceived
 from hoplane.decision.interface import Status
 
 
@@ -57,7 +57,7 @@
 class Exchange(Protocol):
     """A client's request, as its front holds it."""
 
-    asked: Asked
+    asked: RequestReceived
     sink: Sink
 
     @property
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -118,7 +118,7 @@
                 if name not in self.applied:
                     self.log.info("endpoint_avoided", endpoint=name)
                 self.applied[name] = now
-                runtime.feed(ev.Judged(name))
+                runtime.feed(ev.EndpointReportedFailing(name))
         for name in [name for name in self.applied if name in listed and name not in avoided]:
             del self.applied[name]
             self.log.info("endpoint_welcome", endpoint=name)
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -12,7 +12,7 @@
 
 from hoplane import log
 from hoplane.config import Config, ConfigError
-from hoplane.core.events import Endpoint, Listed
+from hoplane.core.events import Endpoint, EndpointsUpdated
 from hoplane.decision.interface import State
 
 LOOK = timedelta(milliseconds=200)  # between looks at the files: a drain must count within 1 s
@@ -81,9 +81,9 @@
     return clusters
 
 
-def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, Listed]:
+def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, EndpointsUpdated]:
     """Give each cluster's endpoints; a load assignment of no cluster is left out."""
-    listed = {name: Listed((), True) for name, _ in clusters.values()}
+    listed = {name: EndpointsUpdated((), True) for name, _ in clusters.values()}
     for index, each in enumerate(resources(text, "ClusterLoadAssignment")):
         service = pick(each, "cluster_name")
         if service not in clusters:
@@ -97,7 +97,7 @@
         names = [endpoint.name for endpoint in found]
         if len(set(names)) < len(names):
             raise Broken(f"resources.{index}: two endpoints share a name")
-        listed[name] = Listed(tuple(found), True)
+        listed[name] = EndpointsUpdated(tuple(found), True)
     return listed
 
 
@@ -135,10 +135,12 @@
 class Files:
     """Two files, looked at again and again; a broken one keeps the last good list."""
 
-    def __init__(self, clusters: Path, endpoints: Path, feed: Callable[[str, Listed], None]) -> None:
+    def __init__(
+        self, clusters: Path, endpoints: Path, feed: Callable[[str, EndpointsUpdated], None]
+    ) -> None:
         self.paths, self.feed = (clusters, endpoints), feed
         self.seen: object = None
-        self.told: dict[str, Listed] = {}
+        self.told: dict[str, EndpointsUpdated] = {}
         self.after: Files | None = None  # the watch of the configuration after ours
 
     def __str__(self) -> str:
@@ -180,7 +182,7 @@
             log.write_event("xds_broken", file=path.name, error=str(error))
             return f"{path.name}: {error}"
         for name in {*found, *self.told}:
-            listed = found.get(name, Listed((), True))
+            listed = found.get(name, EndpointsUpdated((), True))
             if self.told.get(name) != listed:
                 self.feed(name, listed)
         self.told = found
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -92,12 +92,12 @@
                 allowed = self.core.state.may_send(each, self.core.now, False, None)
                 assert allowed is None, "what is decided on may go in that moment"
                 self.open.add(each.attempt)
-                self.writes += not each.reads
-            elif isinstance(each, ev.AskHold):
+                self.writes += not each.is_read
+            elif isinstance(each, ev.Reserve):
                 self.holds.append(each.attempt)
             elif isinstance(each, ev.Refuse | ev.Fail):
                 self.answers += 1
-            elif isinstance(each, ev.Wake) and isinstance(each.timer, tuple) and each.timer[1] is None:
+            elif isinstance(each, ev.SetTimer) and isinstance(each.timer, tuple) and each.timer[1] is None:
                 self.deadline = each
 
     def step(self, kind, which, status, wait):
@@ -110,22 +110,24 @@
                 status = Status.ERROR  # the runtime tells of an answer's begin before its end
             elif status is Status.MISS and not (attempt and attempt.reads):
                 status = Status.FULL
-            self.follow(self.core.do(ev.Ended("q", which, status), after))
+            self.follow(self.core.do(ev.AttemptEnded("q", which, status), after))
         elif kind == "hold" and self.holds:
-            self.follow(self.core.do(ev.HoldAnswered("q", self.holds.pop(), (True, False, None)[which % 3])))
+            self.follow(
+                self.core.do(ev.ReservationFinished("q", self.holds.pop(), (True, False, None)[which % 3]))
+            )
         elif kind == "begin" and which in self.open and request and not request.attempts[which].reads:
             begun = request.began or request.closed
-            self.follow(self.core.do(ev.Began("q", which), after))
+            self.follow(self.core.do(ev.ResponseStarted("q", which), after))
             self.answers += not begun
         elif kind == "left" and not self.answers:
             self.gone = True
-            self.follow(self.core.do(ev.Left("q"), after))
+            self.follow(self.core.do(ev.ClientDisconnected("q"), after))
         elif kind == "drain":
             listed = list(self.core.state.fleet.values())[which % 3 :][:1]
             drained = tuple(replace(each, state=State.DRAINING) for each in listed)
-            self.follow(self.core.do(ev.Listed(drained, False), after))
+            self.follow(self.core.do(ev.EndpointsUpdated(drained, False), after))
         elif kind == "close":
-            self.follow(self.core.do(ev.Closing("q"), after))
+            self.follow(self.core.do(ev.RequestInterrupted("q"), after))
 
 
 @given(st.sampled_from(["safe", "once"]), STEPS)
@@ -134,12 +136,12 @@
     life = Life(effect)
     for step in steps:
         life.step(*step)
-    life.follow(life.core.do(ev.Due(life.deadline.timer), 5 * SECOND))
+    life.follow(life.core.do(ev.TimerFired(life.deadline.timer), 5 * SECOND))
     for _ in range(20):
         for attempt in sorted(life.open):
             life.open.discard(attempt)
-            life.follow(life.core.do(ev.Ended("q", attempt, Status.CANCELLED)))
+            life.follow(life.core.do(ev.AttemptEnded("q", attempt, Status.CANCELLED)))
         while life.holds:
-            life.follow(life.core.do(ev.HoldAnswered("q", life.holds.pop(), None)))
+            life.follow(life.core.do(ev.ReservationFinished("q", life.holds.pop(), None)))
     assert life.answers + life.gone == 1
     assert not life.core.state.requests and life.core.state.invariants.total == 0
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -14,7 +14,7 @@
 from test_runtime import let_go, start
 
 from hoplane.core import release
-from hoplane.core.events import Asked, Endpoint, Forward, Left, LetGo
+from hoplane.core.events import ClientDisconnected, Endpoint, Forward, Release, RequestReceived
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, State, Status
 from hoplane.fronts.platform import read_list
 from hoplane.net.pool import Drained, Pool, Sending
@@ -47,7 +47,7 @@
         if want == "no socket":
             runtime.pool.most = 0
             listener = await asyncio.start_server(server.serve, "127.0.0.1", port)
-        letting = asyncio.create_task(runtime.release(LetGo("q", tuple(runtime.state.fleet.values()))))
+        letting = asyncio.create_task(runtime.release(Release("q", tuple(runtime.state.fleet.values()))))
         await asyncio.sleep(0.2)
         assert not letting.done() and not server.calls
         runtime.pool.most = most
@@ -65,7 +65,7 @@
         nobody = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
         runtime = start(nobody, nobody)
         runtime.state.began = lambda id: True
-        await within(runtime.release(LetGo("q", tuple(runtime.state.fleet.values()))), 3)
+        await within(runtime.release(Release("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
 
     asyncio.run(test())
@@ -95,9 +95,9 @@
             read_head=lambda *_: SimpleNamespace(status=None, load={}),
             told=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
         )
-        runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
+        runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
         yield runtime, reader, writer, up, told
-        runtime.feed(Left("q"))
+        runtime.feed(ClientDisconnected("q"))
         await within(runtime.rest())
         await runtime.pool.close()
 
@@ -132,7 +132,7 @@
         async with late_connections(never_read, "writer") as (runtime, reader, writer, up, _):
             await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
-            runtime.feed(Left("q"))
+            runtime.feed(ClientDisconnected("q"))
             await within(reader.closed.get())
             up.set()
             await within(runtime.rest())
@@ -169,9 +169,9 @@
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             soon, later = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
             for until, may in ((soon, False), (later, True), (None, True)):
-                forward = Forward("q", 1, endpoint, timedelta(seconds=4), reads=False, until=until)
+                forward = Forward("q", 1, endpoint, timedelta(seconds=4), is_read=False, repeat_until=until)
                 assert runtime.sending(forward).may() is may
-            assert not first.is_set() and not any(isinstance(each, Left) for each in ended)
+            assert not first.is_set() and not any(isinstance(each, ClientDisconnected) for each in ended)
 
     asyncio.run(within(test(), 20))
 
@@ -194,7 +194,7 @@
         async with late_connections(never_read, "reader") as (runtime, *_):
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             for patience, may in ((timedelta(), False), (timedelta(seconds=60), True)):
-                assert runtime.sending(Forward("q", 1, endpoint, patience, reads=False)).may() is may
+                assert runtime.sending(Forward("q", 1, endpoint, patience, is_read=False)).may() is may
 
     asyncio.run(within(test(), 20))
 
@@ -328,10 +328,10 @@
                 raise ClientConnectorError(key, OSError(code, "x"))
 
             runtime.pool.request = fails
-            forward = Forward("q", 7, endpoint, timedelta(seconds=4), reads=True)
+            forward = Forward("q", 7, endpoint, timedelta(seconds=4), is_read=True)
             runtime.sent["q", 7] = Sending()
             ended = await runtime.play(forward, runtime.exchanges["q"])
             del runtime.pool.request
-            assert (ended.status, ended.note) == (Status.CONNECT_FAILED, note)
+            assert (ended.status, ended.detail) == (Status.CONNECT_FAILED, note)
 
     asyncio.run(within(test(), 20))
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -11,7 +11,7 @@
 from standins import SETTINGS, Server, entry, message, within
 
 from hoplane.config import platform
-from hoplane.core.events import Asked, Ended, Left
+from hoplane.core.events import AttemptEnded, ClientDisconnected, RequestReceived
 from hoplane.core.pacing import Pacing
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.fronts.kserve import problem
@@ -42,8 +42,8 @@
         async with Server(let_go) as reader, Server(let_go) as writer:
             runtime = start(reader, writer)
             runtime.exchanges["q"] = None
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
-            runtime.feed(Left("q"))
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
+            runtime.feed(ClientDisconnected("q"))
             await within(runtime.rest())
             await reader.wait_for("DELETE /v1/holds/q")
             assert not runtime.state.requests and not reader.named("POST")
@@ -61,14 +61,14 @@
             fits, runtime.spend = runtime.spend, lambda endpoint: False
             call = Call("POST", "/v1/prompts", {}, b"{}")
             runtime.exchanges["q"] = SimpleNamespace(gone=False, call=lambda effect: call)
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=1), session="s"))
-            while not any(isinstance(each, Ended) for each in ended):
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=1), session="s"))
+            while not any(isinstance(each, AttemptEnded) for each in ended):
                 await asyncio.sleep(0)
-            assert {(each.status, each.note) for each in ended if isinstance(each, Ended)} == {
+            assert {(each.status, each.detail) for each in ended if isinstance(each, AttemptEnded)} == {
                 (Status.CONNECT_FAILED, SERVER_NOT_AT_FAULT)
             }
             assert fits(None) and not any(each.errors for each in runtime.state.router.servers.values())
-            runtime.feed(Left("q"))
+            runtime.feed(ClientDisconnected("q"))
             await within(runtime.rest())
             assert not reader.named("POST") and not writer.named("POST")
             await runtime.pool.close()
@@ -158,7 +158,7 @@
                 refuse=lambda pause: told.set(),
                 fail=lambda clash: told.set(),
             )
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
             await within(told.wait())
             assert pool.connector.drop_idle(reader.address) == 0, "none is left to wait on in vain"
             assert pool.connector.drop_idle(writer.address) == 3
@@ -197,10 +197,10 @@
                 refuse=lambda pause: told.set(),
                 fail=lambda clash: told.set(),
             )
-            runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
+            runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             await within(told.wait())
             await within(runtime.rest())
-            ends = [(each.status, each.note) for each in ended if isinstance(each, Ended)]
+            ends = [(each.status, each.detail) for each in ended if isinstance(each, AttemptEnded)]
             assert ends[0] == (Status.RESET, SERVER_NOT_AT_FAULT) and (Status.RESET, 0) in ends, (
                 "the next were new ones"
             )
@@ -249,13 +249,13 @@
     watch.take({"index": 5, "snapshot": True, "endpoints": [one]})
     watch.take({"index": 7, "snapshot": False, "endpoints": [two]})
     watch.take({"index": 7, "snapshot": False, "endpoints": []})
-    assert [(each.whole, len(each.endpoints)) for each in told] == [(True, 1), (False, 1)]
+    assert [(each.complete, len(each.endpoints)) for each in told] == [(True, 1), (False, 1)]
     assert told[1].endpoints[0].state.value == "draining", "an unknown status gets nothing new"
     watch.take({"index": 3, "snapshot": False, "endpoints": [one]})
     assert watch.index is None and len(told) == 2, "changes of another list are not applied"
     watch.index = 7
     watch.take({"index": 3, "snapshot": False, "endpoints": [one, {**two, "status": "Terminating"}]})
-    assert watch.index is None and not told[2].whole, "but for the drains they tell"
+    assert watch.index is None and not told[2].complete, "but for the drains they tell"
     assert [(each.name, each.state.value) for each in told[2].endpoints] == [("b", "draining")]
     for wrong in ({}, [], {"index": 1, "endpoints": {"name": "x"}}, json.loads("null")):
         try:
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -47,25 +47,25 @@
     )
     state = Conductor(settings, Router(settings, 1), Ledger(10, ev.timedelta(seconds=1)))
     endpoint = ev.Endpoint("e", "h:1", "z", "both", 0, api.State.LIVE)
-    reduce(state, ev.timedelta(seconds=1), ev.Listed((endpoint,), True))
+    reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated((endpoint,), True))
     return state
 
 
 def ask(state, cls="c"):
-    asked = ev.Asked("r1", cls, 10, 5, ev.timedelta(seconds=4))
+    asked = ev.RequestReceived("r1", cls, 10, 5, ev.timedelta(seconds=4))
     return reduce(state, ev.timedelta(seconds=1), asked)
 
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_a_refusal_tells_when_to_come_back_only_where_that_is_allowed(allowed):
     state = conductor(retry_after=allowed)
-    reduce(state, ev.timedelta(seconds=1), ev.Listed((), True))
+    reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated((), True))
     effects = [e for e in ask(state) if isinstance(e, ev.Refuse)]
-    due = ev.Due(("r1", None, ev.timedelta(seconds=1)))
+    due = ev.TimerFired(("r1", None, ev.timedelta(seconds=1)))
     effects += reduce(state, ev.timedelta(seconds=5), due)
     refused = [e for e in effects if isinstance(e, ev.Refuse)]
-    assert refused and all((e.pause is not None) is allowed for e in refused)
-    assert bool(advice(refused[0].pause)) is allowed
+    assert refused and all((e.retry_after is not None) is allowed for e in refused)
+    assert bool(advice(refused[0].retry_after)) is allowed
 
 
 @pytest.mark.parametrize(
@@ -84,14 +84,16 @@
     state = conductor()
     if kind == "read":
         listed = [ev.Endpoint(name, "h:1", "z", name, 0, api.State.LIVE) for name in ("read", "write")]
-        reduce(state, ev.timedelta(seconds=1), ev.Listed(tuple(listed), True))
+        reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated(tuple(listed), True))
     sends = [e for e in ask(state, cls) if isinstance(e, ev.Forward)]
-    assert [e.reads for e in sends] == [kind == "read"]
+    assert [e.is_read for e in sends] == [kind == "read"]
     harmless, answer = cls in ("c", "keyed-all"), ev.Refuse if kind == "read" else answer
-    effects = reduce(state, ev.timedelta(seconds=2), ev.Closing("r1"))
-    wanted = [ev.Abandon, ev.Refuse] if harmless else [ev.Abandon]
-    assert [type(e) for e in effects if not isinstance(e, ev.Wake)] == wanted
-    effects = reduce(state, ev.timedelta(seconds=2), ev.Ended("r1", 0, api.Status.CANCELLED, written=True))
+    effects = reduce(state, ev.timedelta(seconds=2), ev.RequestInterrupted("r1"))
+    wanted = [ev.AbandonAttempt, ev.Refuse] if harmless else [ev.AbandonAttempt]
+    assert [type(e) for e in effects if not isinstance(e, ev.SetTimer)] == wanted
+    effects = reduce(
+        state, ev.timedelta(seconds=2), ev.AttemptEnded("r1", 0, api.Status.CANCELLED, written=True)
+    )
     answers = [type(e) for e in effects if isinstance(e, ev.Refuse | ev.Fail | ev.Forward)]
     assert answers == ([] if harmless else [answer])
     assert not state.requests
@@ -100,9 +102,9 @@
 def test_a_stream_that_has_begun_is_broken_off_without_another_answer():
     state = conductor()
     ask(state)
-    reduce(state, ev.timedelta(seconds=2), ev.Began("r1", 0))
-    effects = reduce(state, ev.timedelta(seconds=3), ev.Closing("r1"))
-    assert [type(e) for e in effects] == [ev.Abandon]
+    reduce(state, ev.timedelta(seconds=2), ev.ResponseStarted("r1", 0))
+    effects = reduce(state, ev.timedelta(seconds=3), ev.RequestInterrupted("r1"))
+    assert [type(e) for e in effects] == [ev.AbandonAttempt]
 
 
 async def read(call, writer):
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoplane.core.events import Endpoint, Listed
+from hoplane.core.events import Endpoint, EndpointsUpdated
 from hoplane.core.handover import Peer, judge
 from hoplane.decision.interface import State
 from hoplane.net.handover import read_peer
@@ -18,7 +18,7 @@
 
 
 def listed(started, whole=True):
-    return Listed((Endpoint("w1", "a:1", "z", "decode", 0, State.LIVE, 1.0, started),), whole)
+    return EndpointsUpdated((Endpoint("w1", "a:1", "z", "decode", 0, State.LIVE, 1.0, started),), whole)
 
 
 @given(STEP, STEP, SPAN, SPAN)
