--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -66,7 +66,7 @@
         turns.fits = lambda server: self.cold_quota(runtime, server).may_spend(self.now())
         turns.book = lambda server: self.reserve_send(runtime, server)
         runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
-        runtime.heed = self.heed
+        runtime.heed = self.record_outcome
 
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
         """Return the quota of a cold endpoint's budget, which is created on first use."""
@@ -91,7 +91,7 @@
         known, now = runtime.state.router.servers.get(server), to_ns(runtime.clock.now())
         return known is not None and known.warmth(now, runtime.state.settings.cold) < 1
 
-    def heed(self, endpoint: str, status: Status) -> None:
+    def record_outcome(self, endpoint: str, status: Status) -> None:
         if status in FAILURE_STATUSES:
             self.sync.outliers.record_failure(self.now(), endpoint)
         elif status in SUCCESS_STATUSES:
@@ -120,7 +120,7 @@
                 if name not in self.reported_ejections:
                     self.log.info("endpoint_avoided", endpoint=name)
                 self.reported_ejections[name] = now
-                runtime.feed(ev.Judged(name))
+                runtime.feed(ev.EndpointReportedFailing(name))
         for name in [name for name in self.reported_ejections if name in listed and name not in ejected]:
             del self.reported_ejections[name]
             self.log.info("endpoint_welcome", endpoint=name)
