--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -113,16 +113,16 @@
                 raise ConfigError(f"known: {error}") from None
         return platform.Platform(config, runtime), watch
 
-    def beside(self) -> tuple[kserve.KServe, xds.Files]:
+    def beside(self) -> tuple[kserve.KServe, xds.FileWatch]:
         """Put the v2 front and its files together; at the start they must be whole."""
         # Here, as the platform's run should not load them: half of a start is loading.
         from hoplane import xds
         from hoplane.fronts import kserve
 
         front = kserve.KServe(self.config, self.pool)
-        watch = xds.Files(*self.config.files, front.feed)
-        if broken := watch.look():
-            raise ConfigError(broken)
+        watch = xds.FileWatch(*self.config.files, front.feed)
+        if error := watch.poll():
+            raise ConfigError(error)
         return front, watch
 
     def reload(self) -> None:
@@ -249,7 +249,7 @@
 
 def main(arguments: list[str]) -> int:
     """Read the configuration and serve."""
-    logging.basicConfig(level=logging.WARNING, handlers=[log.Lines()])
+    logging.basicConfig(level=logging.WARNING, handlers=[log.LibraryHandler()])
     parser = argparse.ArgumentParser(prog="hoplane", description="One conductor.")
     parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
     file = parser.parse_args(arguments).file
--- a/hoplane/lease/keeper.py
+++ b/hoplane/lease/keeper.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager, suppress
 from datetime import timedelta
 
-from hoplane import slog
+from hoplane import structured_log
 
 from .choice import (
     Ask,
@@ -53,7 +53,7 @@
         self.idle.set()
         self.began = asyncio.Event()  # set while the lease is held
         self.ended = asyncio.Event()
-        self.log = slog.logger(task=key, name=name)
+        self.log = structured_log.make_logger(task=key, name=name)
         self.counts = {"won": 0, "lost": 0, "renewed": 0, "unrenewed": 0}
 
     async def run(self) -> None:
--- a/hoplane/lease/patrol.py
+++ b/hoplane/lease/patrol.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from hoplane import slog
+from hoplane import structured_log
 
 from .keeper import Keeper
 
@@ -27,7 +27,7 @@
     ) -> None:
         self.keeper, self.every, self.path, self.endpoints = keeper, every, path, endpoints
         self.seen: dict[str, str] = {}
-        self.log = slog.logger(name=keeper.name)
+        self.log = structured_log.make_logger(name=keeper.name)
 
     async def run(self) -> None:
         """Go round until cancelled; nothing is done, and nothing waits, while another holds the lease."""
--- a/hoplane/log.py
+++ b/hoplane/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard error."""
+"""Writes log events to standard error, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -10,50 +10,50 @@
 
 import orjson
 
-STANDARD_ERROR = 2
-PIPE_BUF = 4096  # bytes that a pipe takes at once where poll says that it takes any
-PENDING_MOST = 64 * 1024  # bytes of a line that may wait for its rest to be written
+STDERR_FILENO = 2
+PIPE_BUF = 4096  # bytes that a pipe accepts in one write without blocking when poll reports it writable
+MAX_PENDING_BYTES = 64 * 1024  # unwritten remainder of a partly written line
 
 
 class Output:
-    """Writes whole lines to standard error and never raises, nor waits for whoever reads them.
+    """Writes whole lines to standard error without raising and without blocking on a slow reader.
 
-    A line that cannot be written is dropped and counted; the next one that can tells how many there were. A
-    line of which a part went out is finished before another begins."""
+    Lines that cannot be written are dropped and counted; the next line that can be written reports the count.
+    A partly written line is completed before the next one starts."""
 
-    def __init__(self, descriptor: int = STANDARD_ERROR) -> None:
+    def __init__(self, descriptor: int = STDERR_FILENO) -> None:
         self.descriptor = descriptor
-        self.rest = b""  # of a line whose first part was written
+        self.pending = b""  # remainder of a partly written line
         self.dropped = 0
 
     def write(self, line: bytes) -> None:
-        """Write a line, with what is left of the one before it."""
+        """Write a line after the remainder of the previous one, or drop it."""
         if not self.flush():
             self.dropped += 1
             return
-        self.rest = line
-        begun = self.flush() or len(self.rest) < len(line)
-        if not begun or len(self.rest) > PENDING_MOST:
-            self.rest = b""
+        self.pending = line
+        started = self.flush() or len(self.pending) < len(line)
+        if not started or len(self.pending) > MAX_PENDING_BYTES:
+            self.pending = b""
             self.dropped += 1
 
     def flush(self) -> bool:
-        """Write what waits; tell whether all of it went."""
+        """Write the pending bytes as far as possible; return whether none are left."""
         try:
-            while self.rest and self.takes_more():
-                self.rest = self.rest[os.write(self.descriptor, self.rest[:PIPE_BUF]) :]
+            while self.pending and self.is_writable():
+                self.pending = self.pending[os.write(self.descriptor, self.pending[:PIPE_BUF]) :]
         except OSError:
             return False
-        return not self.rest
+        return not self.pending
 
-    def takes_more(self) -> bool:
-        """Tell whether a write would neither wait nor be pointless."""
+    def is_writable(self) -> bool:
+        """Return whether a write would neither block nor fail."""
         poll = select.poll()
         poll.register(self.descriptor, select.POLLOUT)
         return any(mask & select.POLLOUT for _, mask in poll.poll(0))
 
     def take_dropped(self) -> int:
-        """Give how many lines were dropped since this was asked last."""
+        """Return the number of dropped lines and reset it."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
@@ -61,37 +61,37 @@
 output = Output()
 
 
-def write_event(event: str, **facts: object) -> None:
-    """Write a line; the page docs/on-call.md tells what each event means. Never raises."""
-    line = {"at": datetime.now(UTC), "event": event, **facts}
+def write_event(event: str, **fields: object) -> None:
+    """Write one log line. Never raises. docs/on-call.md describes the events."""
+    line = {"at": datetime.now(UTC), "event": event, **fields}
     if output.dropped:
         line["lines_dropped"] = output.take_dropped()
     try:
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS)
     except (TypeError, ValueError) as error:
-        told = {"event": event, "unwritable": str(error)[:200]}
-        data = orjson.dumps(told, option=orjson.OPT_APPEND_NEWLINE)
+        fallback = {"event": event, "unwritable": str(error)[:200]}
+        data = orjson.dumps(fallback, option=orjson.OPT_APPEND_NEWLINE)
     output.write(data)
 
 
-EVERY = timedelta(seconds=1)
-lately: dict[str, tuple[float, int]] = {}  # by event: when it was said last, and how many came since
+RATE_LIMIT_INTERVAL = timedelta(seconds=1)
+last_written: dict[str, tuple[float, int]] = {}  # by event: time of the last line, lines suppressed since
 
 
-def write_event_limited(event: str, **facts: object) -> None:
-    """Write a line at most once a second; `more` tells how many others of its kind went unsaid before it.
+def write_event_limited(event: str, **fields: object) -> None:
+    """Write at most one line per second for each event; `more` is the number of lines suppressed before it.
 
-    Guards against floods that would fill the log, and keep the one core at work with it."""
-    said, more = lately.get(event, (float("-inf"), 0))
-    if time.monotonic() - said < EVERY.total_seconds():
-        lately[event] = said, more + 1
+    Without the limit a burst of errors would fill the log and use up the process's single core."""
+    written_at, suppressed = last_written.get(event, (float("-inf"), 0))
+    if time.monotonic() - written_at < RATE_LIMIT_INTERVAL.total_seconds():
+        last_written[event] = written_at, suppressed + 1
         return
-    lately[event] = time.monotonic(), 0
-    write_event(event, **facts, **({"more": more} if more else {}))
+    last_written[event] = time.monotonic(), 0
+    write_event(event, **fields, **({"more": suppressed} if suppressed else {}))
 
 
-class Lines(logging.Handler):
-    """Writes what the libraries log as lines of the same kind."""
+class LibraryHandler(logging.Handler):
+    """Writes the log records of third-party libraries in the same format."""
 
     def emit(self, record: logging.LogRecord) -> None:
         error = record.exc_info and repr(record.exc_info[1])
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -7,7 +7,7 @@
 import time
 from datetime import timedelta
 
-from hoplane import slog
+from hoplane import structured_log
 from hoplane.config import Config
 from hoplane.core import events as ev
 from hoplane.core.border import to_ns
@@ -39,7 +39,7 @@
         self.sharing = Sharing(process, self.engine, told.terms, told.rule, told.every, self.now, seed)
         self.joined: set[int] = set()
         self.applied: dict[str, timedelta] = {}
-        self.log = slog.logger(name=process)
+        self.log = structured_log.make_logger(name=process)
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
--- a/hoplane/shared/sharing.py
+++ b/hoplane/shared/sharing.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from hoplane import slog
+from hoplane import structured_log
 from hoplane.lease.choice import Terms
 from hoplane.lease.etcd import Etcd, NoLease, Pair, Unheard
 from hoplane.lease.keeper import Clock
@@ -43,7 +43,7 @@
         self.mine = PREFIX + b"live/" + process.encode()
         self.counts = PREFIX + b"counts/" + process.encode()
         self.seen: dict[bytes, tuple[int, timedelta]] = {}  # by key: revision, when first read
-        self.log = slog.logger(name=process)
+        self.log = structured_log.make_logger(name=process)
         self.heard = True
         self.rounds = self.clashes = 0
 
--- a/hoplane/slog.py
+++ b/hoplane/structured_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on structlog, in the form of `log.py`: one JSON line an event, on standard error."""
+"""Bound loggers on structlog that write lines in the format of `log.py`."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from hoplane import log
 
 
-class Lines:
-    """What structlog writes its lines to; see `log.Output`."""
+class OutputFile:
+    """File-like adapter through which structlog writes to `log.output`."""
 
     def write(self, data: bytes) -> None:
         log.output.write(data)
@@ -18,21 +18,21 @@
         log.output.flush()
 
 
-def rename(_: object, __: str, line: structlog.typing.EventDict) -> structlog.typing.EventDict:
-    """Put the time and the event first, as the other lines have them."""
+def order_keys(_: object, __: str, line: structlog.typing.EventDict) -> structlog.typing.EventDict:
+    """Put the time and the event first, in the key order of `log.write_event`."""
     return {"at": line.pop("at"), "event": line.pop("event"), **line}
 
 
-def logger(**facts: object) -> structlog.typing.FilteringBoundLogger:
-    """Give a logger whose lines all carry these facts."""
+def make_logger(**fields: object) -> structlog.typing.FilteringBoundLogger:
+    """Return a logger that adds the given fields to each of its lines."""
     return structlog.wrap_logger(
-        structlog.BytesLogger(Lines()),
+        structlog.BytesLogger(OutputFile()),
         processors=[
             structlog.processors.TimeStamper(fmt="iso", utc=True, key="at"),
             structlog.processors.ExceptionRenderer(),
-            rename,
+            order_keys,
             structlog.processors.JSONRenderer(serializer=lambda line, **_: orjson.dumps(line, default=str)),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(0),
-        **facts,
+        **fields,
     )
--- a/hoplane/tool.py
+++ b/hoplane/tool.py
@@ -1,4 +1,4 @@
-"""Writes and checks an application's configuration: `python -m hoplane.tool init FOLDER`, `check FILE`."""
+"""Creates and validates a configuration: `python -m hoplane.tool init FOLDER`, `check FILE`."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from hoplane import config as configuration
 from hoplane.config import ConfigError
-from hoplane.xds import Broken, read_clusters, read_endpoints
+from hoplane.xds import XdsError, read_clusters, read_endpoints
 
-TYPES = "type.googleapis.com/envoy.config."
-FILE = """\
-# hoplane beside the application {name}; check it with: python -m hoplane.tool check FILE
+TYPE_URL_PREFIX = "type.googleapis.com/envoy.config."
+CONFIG_TEMPLATE = """\
+# hoplane in front of the application {name}; validate with: python -m hoplane.tool check FILE
 name = {quoted}
 listen = {listen}
 
@@ -49,27 +49,27 @@
 """
 
 
-def init(folder: Path, name: str, listen: str, endpoints: list[str], once: bool) -> list[Path]:
-    """Write an application's files into a folder; nothing that is there is written over."""
+def init(folder: Path, name: str, listen: str, endpoints: list[str], side_effects: bool) -> list[Path]:
+    """Write an application's files into a folder. Existing files are not overwritten."""
     lb_endpoints = []
     for endpoint in endpoints:
         host, port = configuration.address({"endpoint": endpoint}, "endpoint")
         socket = {"address": host, "port_value": port}
         lb_endpoints.append({"endpoint": {"address": {"socket_address": socket}}, "health_status": "HEALTHY"})
     cluster = {
-        "@type": TYPES + "cluster.v3.Cluster",
+        "@type": TYPE_URL_PREFIX + "cluster.v3.Cluster",
         "name": name,
         "type": "EDS",
         "metadata": {"filter_metadata": {"hoplane": {"kind": "mixed"}}},
     }
     load = {
-        "@type": TYPES + "endpoint.v3.ClusterLoadAssignment",
+        "@type": TYPE_URL_PREFIX + "endpoint.v3.ClusterLoadAssignment",
         "cluster_name": name,
         "endpoints": [{"locality": {"zone": "local"}, "lb_endpoints": lb_endpoints}],
     }
-    effect = "side_effect" if once else "pure"
+    effect = "side_effect" if side_effects else "pure"
     texts = {
-        "hoplane.toml": FILE.format(
+        "hoplane.toml": CONFIG_TEMPLATE.format(
             name=name, quoted=json.dumps(name), listen=json.dumps(listen), effect=effect
         ),
         "clusters.json": json.dumps({"resources": [cluster]}, indent=1) + "\n",
@@ -77,51 +77,53 @@
     }
     folder.mkdir(parents=True, exist_ok=True)
     paths = {folder / file: text for file, text in texts.items()}
-    if found := [path for path in paths if path.exists()]:
-        raise ConfigError(f"{found[0].name}: is there already")
+    if existing := [path for path in paths if path.exists()]:
+        raise ConfigError(f"{existing[0].name}: already exists")
     for path, text in paths.items():
         path.write_text(text)
     return list(paths)
 
 
 def check(file: Path) -> str:
-    """Check a file and the endpoints that it names; gives what was found."""
+    """Validate a configuration file and the endpoint files it names; return the endpoint counts as text."""
     config = configuration.from_file(file)
     path = config.files[0]
     try:
         clusters = read_clusters(path.read_bytes())
         path = config.files[1]
         listed = read_endpoints(path.read_bytes(), clusters)
-    except (OSError, Broken) as error:
+    except (OSError, XdsError) as error:
         raise ConfigError(f"{path.name}: {error}") from None
     kinds = {kind.name for kind in config.settings.kinds}
-    for each in listed.values():
-        for endpoint in each.endpoints:
+    for cluster in listed.values():
+        for endpoint in cluster.endpoints:
             if endpoint.kind not in kinds:
-                raise ConfigError(f"{path.name}: {endpoint.name}: kind {endpoint.kind} is not known")
-    return ", ".join(f"{name}: {len(each.endpoints)} endpoints" for name, each in listed.items())
+                raise ConfigError(f"{path.name}: {endpoint.name}: unknown kind {endpoint.kind}")
+    return ", ".join(f"{name}: {len(cluster.endpoints)} endpoints" for name, cluster in listed.items())
 
 
 def main(arguments: list[str]) -> int:
-    """Run one command; 2 tells of a faulty key."""
+    """Run one command; the exit status is 2 on a validation error."""
     parser = argparse.ArgumentParser(prog="hoplane.tool", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    making = commands.add_parser("init", help="write hoplane.toml, clusters.json and endpoints.json")
-    making.add_argument("folder", type=Path)
-    making.add_argument("--name", default="app", help="the application's name, which is the model's")
-    making.add_argument("--listen", default="127.0.0.1:8080")
-    making.add_argument("--endpoint", action="append", default=[], metavar="HOST:PORT")
-    making.add_argument("--once", action="store_true", help="its requests must never run twice")
-    checking = commands.add_parser("check", help="check a configuration and its endpoints")
-    checking.add_argument("file", type=Path)
-    told = parser.parse_args(arguments)
+    init_parser = commands.add_parser("init", help="write hoplane.toml, clusters.json and endpoints.json")
+    init_parser.add_argument("folder", type=Path)
+    init_parser.add_argument("--name", default="app", help="name of the application and of its model")
+    init_parser.add_argument("--listen", default="127.0.0.1:8080")
+    init_parser.add_argument("--endpoint", action="append", default=[], metavar="HOST:PORT")
+    init_parser.add_argument(
+        "--once", action="store_true", help="requests have side effects and must not run twice"
+    )
+    check_parser = commands.add_parser("check", help="validate a configuration and its endpoints")
+    check_parser.add_argument("file", type=Path)
+    options = parser.parse_args(arguments)
     try:
-        if told.command == "init":
-            configuration.address({"listen": told.listen}, "listen")
-            for path in init(told.folder, told.name, told.listen, told.endpoint, told.once):
+        if options.command == "init":
+            configuration.address({"listen": options.listen}, "listen")
+            for path in init(options.folder, options.name, options.listen, options.endpoint, options.once):
                 print(path)
         else:
-            print(f"{told.file}: well ({check(told.file)})")
+            print(f"{options.file}: valid ({check(options.file)})")
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -1,4 +1,4 @@
-"""Endpoints from files in Envoy's xDS v3 JSON: clusters and their load assignments."""
+"""Reads endpoints from files in Envoy's xDS v3 JSON format: clusters and their load assignments."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from hoplane.core.events import Endpoint, Listed
 from hoplane.decision.interface import State
 
-LOOK = timedelta(milliseconds=200)  # between looks at the files: a drain must count within 1 s
-OURS = "hoplane"  # our key in filter_metadata
-HEALTH = {  # whoever is not well gets nothing new, and ends what it has
+POLL_INTERVAL = timedelta(milliseconds=200)  # a drain must take effect within 1 s
+METADATA_KEY = "hoplane"  # of the conductor's entries in filter_metadata
+STATE_BY_HEALTH = {  # an unhealthy endpoint gets no new requests and finishes those in flight
     "UNKNOWN": State.LIVE,
     "HEALTHY": State.LIVE,
     "DEGRADED": State.LIVE,
@@ -27,134 +27,139 @@
 }
 
 
-class Broken(Exception):
-    """A file that cannot be used, with the place that is wrong."""
+class XdsError(Exception):
+    """A malformed file; the message starts with the path of the field at fault."""
 
 
-def camel(name: str) -> str:
-    """Give a field's other spelling: proto3 JSON is read in both."""
+def camel_case(name: str) -> str:
+    """Convert a field name to lowerCamelCase; proto3 JSON parsers accept both spellings."""
     head, *rest = name.split("_")
     return head + "".join(part.capitalize() for part in rest)
 
 
-def pick(value: object, name: str, default: object = None) -> object:
-    """Give a field of an object in either spelling."""
+def get_field(value: object, name: str, default: object = None) -> object:
+    """Return a field of an object, accepting either spelling of its name."""
     if not isinstance(value, dict):
-        raise Broken(f"{name}: is not in an object")
-    return value.get(name, value.get(camel(name), default))
+        raise XdsError(f"{name}: parent is not an object")
+    return value.get(name, value.get(camel_case(name), default))
 
 
-def dig(value: object, *names: str) -> object:
-    """Give a field some objects deep, None where one is absent."""
+def get_nested(value: object, *names: str) -> object:
+    """Return the field at a path of names, or None if any of them is absent."""
     for name in names:
-        value = pick(value, name)
+        value = get_field(value, name)
         if value is None:
             return None
     return value
 
 
-def resources(text: bytes, kind: str) -> list[dict]:
-    """Give a file's resources of one type: a DiscoveryResponse, a list or a single one."""
+def read_resources(text: bytes, type_name: str) -> list[dict]:
+    """Parse a file's resources of one type from a DiscoveryResponse, a list or a single resource."""
     try:
-        read = orjson.loads(text)
+        parsed = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise Broken(f"not JSON: {error}") from None
-    if isinstance(read, dict):
-        read = read.get("resources", [read])
-    if not isinstance(read, list) or not all(isinstance(each, dict) for each in read):
-        raise Broken("resources: must be a list of objects")
-    found = [each for each in read if str(each.get("@type", kind)).endswith(kind)]
-    if len(found) < len(read):
-        raise Broken(f"@type: all must be {kind}")
-    return found
+        raise XdsError(f"not JSON: {error}") from None
+    if isinstance(parsed, dict):
+        parsed = parsed.get("resources", [parsed])
+    if not isinstance(parsed, list) or not all(isinstance(each, dict) for each in parsed):
+        raise XdsError("resources: must be a list of objects")
+    matching = [each for each in parsed if str(each.get("@type", type_name)).endswith(type_name)]
+    if len(matching) < len(parsed):
+        raise XdsError(f"@type: all must be {type_name}")
+    return matching
 
 
 def read_clusters(text: bytes) -> dict[str, tuple[str, dict]]:
-    """Give each load assignment's name with its cluster's name and our metadata on it."""
+    """Map the name of each load assignment to its cluster's name and the cluster's hoplane metadata."""
     clusters = {}
-    for index, each in enumerate(resources(text, "Cluster")):
-        name = pick(each, "name")
+    for index, each in enumerate(read_resources(text, "Cluster")):
+        name = get_field(each, "name")
         if not isinstance(name, str) or not name:
-            raise Broken(f"resources.{index}.name: is missing")
-        service = dig(each, "eds_cluster_config", "service_name") or name
-        clusters[service] = name, dig(each, "metadata", "filter_metadata", OURS) or {}
+            raise XdsError(f"resources.{index}.name: is missing")
+        service = get_nested(each, "eds_cluster_config", "service_name") or name
+        clusters[service] = name, get_nested(each, "metadata", "filter_metadata", METADATA_KEY) or {}
     return clusters
 
 
 def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, Listed]:
-    """Give each cluster's endpoints; a load assignment of no cluster is left out."""
-    listed = {name: Listed((), True) for name, _ in clusters.values()}
-    for index, each in enumerate(resources(text, "ClusterLoadAssignment")):
-        service = pick(each, "cluster_name")
+    """Return the endpoints by cluster; load assignments without a cluster are skipped."""
+    lists = {name: Listed((), True) for name, _ in clusters.values()}
+    for index, each in enumerate(read_resources(text, "ClusterLoadAssignment")):
+        service = get_field(each, "cluster_name")
         if service not in clusters:
             continue
-        name, common = clusters[service]
-        found = []
-        for group_at, group in enumerate(pick(each, "endpoints", [])):
-            for at, one in enumerate(pick(group, "lb_endpoints", [])):
-                where = f"resources.{index}.endpoints.{group_at}.lb_endpoints.{at}"
-                found.append(read_endpoint(one, group, common, where))
-        names = [endpoint.name for endpoint in found]
+        name, cluster_metadata = clusters[service]
+        endpoints = []
+        for group_index, group in enumerate(get_field(each, "endpoints", [])):
+            for endpoint_index, lb_endpoint in enumerate(get_field(group, "lb_endpoints", [])):
+                where = f"resources.{index}.endpoints.{group_index}.lb_endpoints.{endpoint_index}"
+                endpoints.append(read_endpoint(lb_endpoint, group, cluster_metadata, where))
+        names = [endpoint.name for endpoint in endpoints]
         if len(set(names)) < len(names):
-            raise Broken(f"resources.{index}: two endpoints share a name")
-        listed[name] = Listed(tuple(found), True)
-    return listed
+            raise XdsError(f"resources.{index}: two endpoints have the same name")
+        lists[name] = Listed(tuple(endpoints), True)
+    return lists
 
 
-def read_endpoint(one: object, group: object, common: dict, where: str) -> Endpoint:
-    """Translate one LbEndpoint."""
-    socket = dig(one, "endpoint", "address", "socket_address")
-    host, port = (pick(socket, "address"), pick(socket, "port_value")) if socket else (None, None)
+def read_endpoint(lb_endpoint: object, group: object, cluster_metadata: dict, where: str) -> Endpoint:
+    """Convert one LbEndpoint."""
+    socket = get_nested(lb_endpoint, "endpoint", "address", "socket_address")
+    host, port = (get_field(socket, "address"), get_field(socket, "port_value")) if socket else (None, None)
     if not isinstance(host, str) or not isinstance(port, int) or not 0 < port < 65536:
-        raise Broken(f"{where}.endpoint.address.socket_address: address and port_value are needed")
-    health = pick(one, "health_status", "UNKNOWN")
-    if health not in HEALTH:
-        raise Broken(f"{where}.health_status: {health!r} is not known")
-    own = {**common, **(dig(one, "metadata", "filter_metadata", OURS) or {})}
-    if not isinstance(own.get("kind"), str):
-        raise Broken(f"{where}.metadata.filter_metadata.{OURS}.kind: is missing")
-    zone, rack = (str(dig(group, "locality", part) or "") for part in ("zone", "sub_zone"))
+        raise XdsError(f"{where}.endpoint.address.socket_address: address and port_value are required")
+    health = get_field(lb_endpoint, "health_status", "UNKNOWN")
+    if health not in STATE_BY_HEALTH:
+        raise XdsError(f"{where}.health_status: unknown value {health!r}")
+    metadata = {
+        **cluster_metadata,
+        **(get_nested(lb_endpoint, "metadata", "filter_metadata", METADATA_KEY) or {}),
+    }
+    if not isinstance(metadata.get("kind"), str):
+        raise XdsError(f"{where}.metadata.filter_metadata.{METADATA_KEY}.kind: is missing")
+    zone, rack = (str(get_nested(group, "locality", part) or "") for part in ("zone", "sub_zone"))
     address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
     try:
-        weight = float(pick(one, "load_balancing_weight", 1))
-        started = timedelta(milliseconds=own.get("since_ms", 0))
+        weight = float(get_field(lb_endpoint, "load_balancing_weight", 1))
+        started = timedelta(milliseconds=metadata.get("since_ms", 0))
     except (TypeError, ValueError):
-        raise Broken(f"{where}: load_balancing_weight and since_ms must be numbers") from None
+        raise XdsError(f"{where}: load_balancing_weight and since_ms must be numbers") from None
     return Endpoint(
-        str(own.get("name") or address),
+        str(metadata.get("name") or address),
         address,
         zone,
-        own["kind"],
+        metadata["kind"],
         crc32(f"{zone}/{rack}".encode()),
-        HEALTH[health],
+        STATE_BY_HEALTH[health],
         weight,
         started,
     )
 
 
-class Files:
-    """Two files, looked at again and again; a broken one keeps the last good list."""
+class FileWatch:
+    """Polls the two files for changes. While one is malformed the last valid list stays in use."""
 
     def __init__(self, clusters: Path, endpoints: Path, feed: Callable[[str, Listed], None]) -> None:
         self.paths, self.feed = (clusters, endpoints), feed
-        self.seen: object = None
-        self.told: dict[str, Listed] = {}
-        self.after: Files | None = None  # the watch of the configuration after ours
+        self.last_stamp: object = None
+        self.reported: dict[str, Listed] = {}
+        self.successor: FileWatch | None = None  # the watch that replaced this one on a reload
 
     def __str__(self) -> str:
         return ", ".join(path.name for path in self.paths)
 
-    def moved(self, config: Config) -> Files:
-        """Give the watch of a new configuration, once its files are found whole; it knows what was told."""
-        files = Files(*config.files, self.feed)
-        files.told = self.told
-        if broken := files.look():
-            raise ConfigError(broken)
-        self.after = files
-        return files
+    def moved(self, config: Config) -> FileWatch:
+        """Return the watch for a new configuration, which inherits the lists reported so far.
+
+        Raises a ConfigError if the new files are malformed."""
+        watch = FileWatch(*config.files, self.feed)
+        watch.reported = self.reported
+        if error := watch.poll():
+            raise ConfigError(error)
+        self.successor = watch
+        return watch
 
     def stamp(self) -> object:
-        """Give what changes when a file does; a replaced file has another inode."""
+        """Return a value that changes with the files; the inode covers files replaced by a rename."""
         stats = []
         for path in self.paths:
             try:
@@ -164,33 +169,33 @@
                 stats.append(None)
         return stats
 
-    def look(self) -> str | None:
-        """Read the files if they changed, and tell each list that did; gives what is broken."""
+    def poll(self) -> str | None:
+        """Read the files if they changed and report each list that changed; return the error, if any."""
         stamp = self.stamp()
-        if stamp == self.seen:
+        if stamp == self.last_stamp:
             return None
-        self.seen = stamp
+        self.last_stamp = stamp
         path = self.paths[0]
         try:
             clusters = read_clusters(path.read_bytes())
             path = self.paths[1]
-            found = read_endpoints(path.read_bytes(), clusters)
-        except (OSError, Broken, TypeError, AttributeError) as error:
-            # Guards against a file half written or wrong: an empty fleet would be worse than an old one.
+            lists = read_endpoints(path.read_bytes(), clusters)
+        except (OSError, XdsError, TypeError, AttributeError) as error:
+            # A malformed or partly written file must not empty the fleet: better an outdated list than none.
             log.write_event("xds_broken", file=path.name, error=str(error))
             return f"{path.name}: {error}"
-        for name in {*found, *self.told}:
-            listed = found.get(name, Listed((), True))
-            if self.told.get(name) != listed:
+        for name in {*lists, *self.reported}:
+            listed = lists.get(name, Listed((), True))
+            if self.reported.get(name) != listed:
                 self.feed(name, listed)
-        self.told = found
+        self.reported = lists
         return None
 
     async def first(self) -> None:
-        """Have nothing to wait for: at the start the files have been read."""
+        """Return at once: the files were read at the start."""
 
     async def watch(self) -> None:
-        """Look until cancelled, or until another watch does."""
-        while self.after is None:
-            self.look()
-            await asyncio.sleep(LOOK.total_seconds())
+        """Poll until cancelled or replaced by another watch."""
+        while self.successor is None:
+            self.poll()
+            await asyncio.sleep(POLL_INTERVAL.total_seconds())
