--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -17,7 +17,7 @@
 
 from hoplane import config as configuration
 from hoplane import log
-from hoplane.config import Config, ConfigError, Unreadable
+from hoplane.config import Config, ConfigError, TransientReadError
 from hoplane.core.events import Reloaded
 from hoplane.core.pacing import Pacing
 from hoplane.core.transient import EXHAUSTED
@@ -132,7 +132,7 @@
         try:
             new = self.again(self.config)
             watch = self.watch.moved(new)
-        except Unreadable as error:
+        except TransientReadError as error:
             self.reload_later(error)
             return
         except ConfigError as error:
@@ -146,17 +146,17 @@
         self.pool.most = new.limits.upstreams
         self.pool.watch(new.discovery)
         self.front.retune(new.settings)
-        known = (*configuration.RELOADED, *configuration.IGNORED)
+        known = (*configuration.RELOADABLE_FIELDS, *configuration.IGNORED_FIELDS)
         wait = [
             name
             for name in (field.name for field in fields(new))
             if name not in known and getattr(self.config, name) != getattr(new, name)
         ]
-        taken = {name: getattr(new, name) for name in configuration.RELOADED}
-        self.config = replace(self.config, told=new.told, **taken)
+        taken = {name: getattr(new, name) for name in configuration.RELOADABLE_FIELDS}
+        self.config = replace(self.config, raw=new.raw, **taken)
         log.write_event("reloaded", watch=str(watch), at_next_start=wait)
 
-    def reload_later(self, error: Unreadable) -> None:
+    def reload_later(self, error: TransientReadError) -> None:
         """Read the configuration once more a moment later: the SIGHUP is still owed a reload."""
         self.unread += 1
         log.write_event_limited("reload_unread", error=str(error), tries=self.unread)
@@ -230,7 +230,7 @@
         signals.noted.clear()  # the file that we read now is newer
         try:
             return configuration.load(os.environ, file)
-        except Unreadable:
+        except TransientReadError:
             time.sleep(REREAD.total_seconds())
     return configuration.load(os.environ, file)
 
--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults; errors name the key."""
+"""Reads and validates the configuration and applies defaults; errors name the key at fault."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from hoplane.core.transient import UNREADABLE
 from hoplane.decision.interface import Settings
 
-if TYPE_CHECKING:  # a file of ours loads them, the platform's run does not: half of a start is loading
+# Imported on use: imports take half of the start-up time, and a platform's configuration needs none of these.
+if TYPE_CHECKING:
     from hoplane.lease.choice import Terms
     from hoplane.shared.escrow import Budget
     from hoplane.shared.verdicts import Rule
 
 MEGABYTE = 1 << 20
-MOST = 10**18  # of any number that is told: 30 years in nanoseconds
-BODY_MOST = 256 * 1024  # the protocol's bound on a body
-BASE = 52 * MEGABYTE  # what the program takes with no request open, measured at 48
-
+MAX_NUMBER = 10**18  # for any setting; 30 years in nanoseconds
+MAX_BODY_BYTES = 256 * 1024  # limit of the platform's protocol
+BASE_MEMORY = 52 * MEGABYTE  # of a process without open requests, which uses 48 MiB
 
 LEASE_KEYS = (
     "engine",
@@ -55,80 +55,80 @@
 
 
 class ConfigError(Exception):
-    """What is wrong, with the key in front."""
+    """A validation error; the message starts with the key at fault."""
 
 
-class Unreadable(ConfigError):
-    """A file could not be read for a reason that passes with time."""
+class TransientReadError(ConfigError):
+    """A file could not be read because of a transient error; reading it again may succeed."""
 
 
-def unread(name: str, error: Exception) -> ConfigError:
-    """Give the error for a file that could not be read or understood."""
+def read_error(name: str, error: Exception) -> ConfigError:
+    """Return the error for a file that could not be read or parsed."""
     transient = isinstance(error, OSError) and error.errno in UNREADABLE
-    return (Unreadable if transient else ConfigError)(f"{name}: {error}")
+    return (TransientReadError if transient else ConfigError)(f"{name}: {error}")
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the process may use."""
+    """Resource limits of the process, and how they are divided."""
 
     memory: int
     sockets: int
 
     @property
     def spare(self) -> int:
-        """Descriptors for all else: discovery, the log, and clients that are turned away."""
+        """Descriptors for everything else: discovery, the log and rejected client connections."""
         return min(64, self.sockets // 4)
 
     @property
     def clients(self) -> int:
-        """Client connections: at most a third, as a request may need two to endpoints."""
+        """Client connections: at most a third of the descriptors, as a request may need two to endpoints."""
         return self.sockets // 3
 
     @property
-    def turned_away(self) -> int:
-        """Client connections over that bound which get their refusal."""
+    def rejected_connections(self) -> int:
+        """Client connections over the limit that are answered with a refusal at the same time."""
         return self.spare // 2
 
     @property
     def upstreams(self) -> int:
-        """Connections to endpoints, idle ones included."""
+        """Connections to endpoints, including idle ones."""
         return self.sockets - self.clients - self.spare
 
     @property
     def bodies(self) -> int:
-        """Bytes of request bodies held at once, which count twice for the copies on their way out."""
-        return max(8 * BODY_MOST, min(self.memory // 8, (self.memory - BASE) // 4))
+        """Bytes of request bodies in memory; each body counts twice, for the copy being sent."""
+        return max(8 * MAX_BODY_BYTES, min(self.memory // 8, (self.memory - BASE_MEMORY) // 4))
 
 
 @dataclass(slots=True, frozen=True)
 class Lease:
-    """The lease of the fleet's patrol, see docs/leases.md: where it is kept, and on what terms."""
+    """The lease under which one conductor of the fleet health-checks endpoints, see docs/leases.md."""
 
-    engine: tuple[str, ...]  # HOST:PORT of the engine's members
+    engine: tuple[str, ...]  # HOST:PORT of each etcd member
     key: str
     terms: Terms
-    call: timedelta  # how long a call to the engine may take
-    every: timedelta  # between two rounds of the patrol
-    clock_rate: float = 1.0  # for drills: how fast this process's clock runs
+    call: timedelta  # timeout of a call to etcd
+    every: timedelta  # between two rounds of health checks
+    clock_rate: float = 1.0  # speed of this process's clock, for drills
 
 
 @dataclass(slots=True, frozen=True)
 class Shared:
-    """What the conductors of a fleet share, see docs/shared.md."""
+    """State shared by the conductors of a fleet, see docs/shared.md."""
 
     engine: tuple[str, ...]
     terms: Terms
     call: timedelta
-    every: timedelta  # between two rounds at the engine
-    cold: Budget  # of sends to each cold endpoint, by all conductors
+    every: timedelta  # between two synchronizations with etcd
+    cold: Budget  # of sends to each cold endpoint by all conductors together
     rule: Rule
     clock_rate: float = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a conductor is told."""
+    """The complete configuration of a conductor."""
 
     name: str
     listen: tuple[str, int]
@@ -136,43 +136,44 @@
     seed: int
     limits: Limits
     discovery: tuple[str, int] | None = None
-    operator: tuple[str, int] | None = None  # the operator's address, see fronts/operator.py
+    operator: tuple[str, int] | None = None  # where the operator interface listens
     known: dict = field(default_factory=dict)
     connect_timeout: timedelta = timedelta(milliseconds=250)
     conn_idle: timedelta = timedelta(seconds=15)
     max_open: int = 20_000
-    ledger_most: int = 50_000  # ids that must not run twice, and how long they are remembered
+    ledger_most: int = 50_000  # request ids that must not run twice, and how long they are stored
     ledger_keep: timedelta = timedelta(minutes=10)
     lease: Lease | None = None
     shared: Shared | None = None
-    files: tuple[Path, ...] = ()  # clusters and endpoints in xDS form, for the v2 front
-    inherited: int | None = None  # a listening socket held by the platform, as descriptor `EDGE_SOCKET_FD`
-    scratch: Path | None = None  # `$TMPDIR`, which two processes on an inherited socket share
-    told: dict = field(default_factory=dict, compare=False, repr=False)  # the file as it was read
+    files: tuple[Path, ...] = ()  # clusters and endpoints in xDS format, for the KServe v2 front
+    inherited: int | None = None  # descriptor `EDGE_SOCKET_FD`: a listening socket owned by the platform
+    scratch: Path | None = None  # `$TMPDIR`, shared by the processes on an inherited socket
+    raw: dict = field(default_factory=dict, compare=False, repr=False)  # the parsed file
 
 
-RELOADED = ("discovery", "files", "limits", "settings")  # what a reload puts in force; the rest waits
-IGNORED = ("seed", "known", "inherited", "scratch", "told")  # new with each start, of no use to a reload
+RELOADABLE_FIELDS = ("discovery", "files", "limits", "settings")  # others take effect at the next start
+IGNORED_FIELDS = ("seed", "known", "inherited", "scratch", "raw")  # new at each start, unused by a reload
 
 
-def load(environ: Mapping[str, str], file: Path | None = None, before: Config | None = None) -> Config:
-    """Read what the platform tells, or a file of ours for the v2 front; `before` is the one in force.
+def load(environ: Mapping[str, str], file: Path | None = None, current: Config | None = None) -> Config:
+    """Read the platform's configuration, or a TOML file for the KServe v2 front.
 
-    A file read anew must hold every key that the one in force holds, but for `seed` and `known`."""
+    On a reload, `current` is the active configuration. The new file must contain every key of the active one
+    except `seed` and `known`."""
     if file is not None:
         config = from_file(file)
-        if before is not None:
-            kept(before.told, config.told)
+        if current is not None:
+            check_no_key_missing(current.raw, config.raw)
         return config
     try:
         raw = orjson.loads(Path(environ.get("EDGE_CONFIG", "")).read_bytes())
     except (OSError, orjson.JSONDecodeError) as error:
-        raise unread("EDGE_CONFIG", error) from None
+        raise read_error("EDGE_CONFIG", error) from None
     if not isinstance(raw, dict):
         raise ConfigError("EDGE_CONFIG: must be an object")
-    if before is not None:
-        kept(before.told, raw)
-    told, again = dict(raw), before is not None
+    if current is not None:
+        check_no_key_missing(current.raw, raw)
+    file_content, is_reload = dict(raw), current is not None
     names = (
         ("name", "EDGE_NAME"),
         ("listen", "EDGE_LISTEN"),
@@ -180,185 +181,192 @@
         ("operator", "EDGE_OPERATOR"),
     )
     for key, name in names:
-        # Guards against an environment as old as the process, which must not hide a reload's new address.
-        if environ.get(name) and not (again and key in RELOADED):
+        # The environment is as old as the process and must not override the new address on a reload.
+        if environ.get(name) and not (is_reload and key in RELOADABLE_FIELDS):
             raw[key] = environ[name]
     scratch = Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None
-    inherited = descriptor(environ.get("EDGE_SOCKET_FD"))
-    return replace(platform(raw), inherited=inherited, scratch=scratch, told=told)
+    inherited = parse_descriptor(environ.get("EDGE_SOCKET_FD"))
+    return replace(from_platform(raw), inherited=inherited, scratch=scratch, raw=file_content)
 
 
-def descriptor(value: str | None) -> int | None:
-    """Give the number of an inherited descriptor, where one is named."""
+def parse_descriptor(value: str | None) -> int | None:
+    """Parse the number of an inherited descriptor, if one is given."""
     if value is None or value == "":
         return None
     if not (value.isascii() and value.isdecimal()) or len(value) > 6:
-        raise ConfigError("EDGE_SOCKET_FD: must be the number of a descriptor")
+        raise ConfigError("EDGE_SOCKET_FD: must be a descriptor number")
     return int(value)
 
 
-def platform(raw: dict) -> Config:
-    """Check the platform's configuration."""
-    told = group(raw, "settings", needed=True)
-    limited(told, "settings.")
-    allowed = group(told, "allowed", "settings.")
+def from_platform(raw: dict) -> Config:
+    """Validate the platform's configuration."""
+    raw_settings = get_section(raw, "settings", required=True)
+    check_positive_settings(raw_settings, "settings.")
+    allowed = get_section(raw_settings, "allowed", "settings.")
     return Config(
-        name=text(raw, "name"),
-        listen=address(raw, "listen"),
-        discovery=address(raw, "discovery"),
-        operator=address(raw, "operator") if raw.get("operator") else None,
-        settings=settings(told, "settings."),
-        seed=seed(raw.get("seed", 0)),
-        limits=limits(group(raw, "limits")),
-        known=group(raw, "known"),
-        connect_timeout=nanoseconds(allowed, "connect_timeout", 250_000_000, "settings.allowed."),
-        conn_idle=nanoseconds(allowed, "conn_idle", 15_000_000_000, "settings.allowed."),
-        max_open=whole(allowed, "max_open", 20_000, 1, "settings.allowed."),
+        name=get_text(raw, "name"),
+        listen=parse_address(raw, "listen"),
+        discovery=parse_address(raw, "discovery"),
+        operator=parse_address(raw, "operator") if raw.get("operator") else None,
+        settings=parse_settings(raw_settings, "settings."),
+        seed=parse_seed(raw.get("seed", 0)),
+        limits=parse_limits(get_section(raw, "limits")),
+        known=get_section(raw, "known"),
+        connect_timeout=get_nanoseconds(allowed, "connect_timeout", 250_000_000, "settings.allowed."),
+        conn_idle=get_nanoseconds(allowed, "conn_idle", 15_000_000_000, "settings.allowed."),
+        max_open=get_integer(allowed, "max_open", 20_000, 1, "settings.allowed."),
     )
 
 
 def from_file(path: Path) -> Config:
-    """Check a file of ours, in TOML; relative paths in it count from its folder."""
+    """Read and validate a TOML file; relative paths in it are relative to its directory."""
     import tomllib
 
     try:
         raw = tomllib.loads(path.read_text())
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise unread(path.name, error) from None
-    files = group(raw, "xds", needed=True)
-    told = group(raw, "settings", needed=True)
-    limited(told, "settings.")
-    upstream, ledger = group(raw, "upstream"), group(raw, "ledger")
+        raise read_error(path.name, error) from None
+    files = get_section(raw, "xds", required=True)
+    raw_settings = get_section(raw, "settings", required=True)
+    check_positive_settings(raw_settings, "settings.")
+    upstream, ledger = get_section(raw, "upstream"), get_section(raw, "ledger")
     return Config(
-        name=text(raw, "name"),
-        listen=address(raw, "listen"),
-        operator=address(raw, "operator") if raw.get("operator") else None,
-        settings=settings(told, "settings."),
-        seed=seed(raw.get("seed", 0)),
-        limits=limits(group(raw, "limits")),
-        connect_timeout=milliseconds(upstream, "connect_timeout_ms", 250, "upstream."),
-        conn_idle=milliseconds(upstream, "idle_ms", 15_000, "upstream."),
-        ledger_most=whole(ledger, "ids", 50_000, 1, "ledger."),
-        ledger_keep=timedelta(seconds=whole(ledger, "keep_s", 600, 1, "ledger.")),
-        lease=lease(group(raw, "lease")) if "lease" in raw else None,
-        shared=shared(group(raw, "shared"), told) if "shared" in raw else None,
-        files=tuple(path.parent / text(files, key, "xds.") for key in ("clusters", "endpoints")),
-        told=raw,
+        name=get_text(raw, "name"),
+        listen=parse_address(raw, "listen"),
+        operator=parse_address(raw, "operator") if raw.get("operator") else None,
+        settings=parse_settings(raw_settings, "settings."),
+        seed=parse_seed(raw.get("seed", 0)),
+        limits=parse_limits(get_section(raw, "limits")),
+        connect_timeout=get_milliseconds(upstream, "connect_timeout_ms", 250, "upstream."),
+        conn_idle=get_milliseconds(upstream, "idle_ms", 15_000, "upstream."),
+        ledger_most=get_integer(ledger, "ids", 50_000, 1, "ledger."),
+        ledger_keep=timedelta(seconds=get_integer(ledger, "keep_s", 600, 1, "ledger.")),
+        lease=parse_lease(get_section(raw, "lease")) if "lease" in raw else None,
+        shared=parse_shared(get_section(raw, "shared"), raw_settings) if "shared" in raw else None,
+        files=tuple(path.parent / get_text(files, key, "xds.") for key in ("clusters", "endpoints")),
+        raw=raw,
     )
 
 
-def lease(raw: dict) -> Lease:
-    """Check the lease's part of a file of ours."""
+def parse_lease(raw: dict) -> Lease:
+    """Validate the [lease] section."""
     from hoplane.lease.choice import Terms
 
-    engine = members(raw, LEASE_KEYS, "lease.")
-    call = milliseconds(raw, "call_ms", 500, "lease.")
+    engine = parse_members(raw, LEASE_KEYS, "lease.")
+    call = get_milliseconds(raw, "call_ms", 500, "lease.")
     try:
         terms = Terms(
-            ttl=timedelta(seconds=whole(raw, "ttl_s", 5, 1, "lease.")),
-            act=milliseconds(raw, "act_ms", 500, "lease."),
-            drift=number(raw, "drift", 0.01, "lease."),
-            epoch=whole(raw, "epoch", 1, 1, "lease."),
+            ttl=timedelta(seconds=get_integer(raw, "ttl_s", 5, 1, "lease.")),
+            act=get_milliseconds(raw, "act_ms", 500, "lease."),
+            drift=get_number(raw, "drift", 0.01, "lease."),
+            epoch=get_integer(raw, "epoch", 1, 1, "lease."),
         )
     except ValueError as error:
         raise ConfigError(f"lease.{error}") from None
     if call > terms.renew:
-        raise ConfigError("lease.call_ms: must be at most a third of ttl_s, to try a renewal again")
-    key = text(raw, "key", "lease.") if "key" in raw else "hoplane/patrol"
-    every, rate = milliseconds(raw, "every_ms", 1000, "lease."), number(raw, "clock_rate", 1.0, "lease.")
+        raise ConfigError("lease.call_ms: must be at most a third of ttl_s, to leave time to retry a renewal")
+    key = get_text(raw, "key", "lease.") if "key" in raw else "hoplane/patrol"
+    every, rate = (
+        get_milliseconds(raw, "every_ms", 1000, "lease."),
+        get_number(raw, "clock_rate", 1.0, "lease."),
+    )
     if not 0.5 <= rate <= 2:
         raise ConfigError("lease.clock_rate: must be from 0.5 to 2")
     return Lease(engine, key, terms, call, every, rate)
 
 
-def members(raw: dict, known: tuple[str, ...], where: str) -> tuple[str, ...]:
-    """Give the addresses of an engine's members, and check that a part has no unknown keys."""
+def parse_members(raw: dict, known: tuple[str, ...], where: str) -> tuple[str, ...]:
+    """Return the addresses of the etcd members, after a check that the section has no unknown keys."""
     if unknown := set(raw) - set(known):
-        raise ConfigError(f"{where}{min(unknown)}: is not known")
+        raise ConfigError(f"{where}{min(unknown)}: unknown key")
     engine = raw.get("engine")
     if not isinstance(engine, list) or not engine:
-        raise ConfigError(f"{where}engine: must be a list of HOST:PORT, at least one")
-    for at in range(len(engine)):
-        address({f"{where}engine.{at}": engine[at]}, f"{where}engine.{at}")
+        raise ConfigError(f"{where}engine: must be a non-empty list of HOST:PORT")
+    for index in range(len(engine)):
+        parse_address({f"{where}engine.{index}": engine[index]}, f"{where}engine.{index}")
     return tuple(engine)
 
 
-def shared(raw: dict, told: dict) -> Shared:
-    """Check the part of a file of ours that tells what the fleet shares."""
+def parse_shared(raw: dict, raw_settings: dict) -> Shared:
+    """Validate the [shared] section."""
     from hoplane.lease.choice import Terms
     from hoplane.shared.escrow import Budget
     from hoplane.shared.verdicts import Rule
 
-    engine = members(raw, SHARED_KEYS, "shared.")
-    if isinstance(family := told.get("family_info"), dict) and family.get("ahead"):
-        raise ConfigError("shared: cannot go with settings.family_info.ahead, whose places no budget covers")
-    window = milliseconds(raw, "window_ms", 1000, "shared.")
-    call = milliseconds(raw, "call_ms", 300, "shared.")
-    every, ttl = milliseconds(raw, "every_ms", 500, "shared."), whole(raw, "ttl_s", 5, 1, "shared.")
+    engine = parse_members(raw, SHARED_KEYS, "shared.")
+    if isinstance(family := raw_settings.get("family_info"), dict) and family.get("ahead"):
+        raise ConfigError(
+            "shared: not supported with settings.family_info.ahead, which reserves without a budget"
+        )
+    window = get_milliseconds(raw, "window_ms", 1000, "shared.")
+    call = get_milliseconds(raw, "call_ms", 300, "shared.")
+    every, ttl = get_milliseconds(raw, "every_ms", 500, "shared."), get_integer(raw, "ttl_s", 5, 1, "shared.")
     if "most" not in raw:
-        raise ConfigError("shared.most: is missing: the most conductors that ever run at a time")
+        raise ConfigError("shared.most: is missing: the maximum number of conductors running at once")
     try:
         budget = Budget(
-            number(raw, "cold_sends", 10.0, "shared."),
+            get_number(raw, "cold_sends", 10.0, "shared."),
             window,
-            whole(raw, "most", 1, 1, "shared."),
-            number(raw, "reserve", 0.3, "shared."),
+            get_integer(raw, "most", 1, 1, "shared."),
+            get_number(raw, "reserve", 0.3, "shared."),
+        )
+        rule = Rule(
+            get_integer(raw, "failures", 3, 1, "shared."), get_milliseconds(raw, "keep_ms", 4000, "shared.")
         )
-        rule = Rule(whole(raw, "failures", 3, 1, "shared."), milliseconds(raw, "keep_ms", 4000, "shared."))
-        # A slice's term ends a window before the lease: what `act` is to a task, the window is to a slice.
-        terms = Terms(timedelta(seconds=ttl), window, number(raw, "drift", 0.01, "shared."))
+        # A quota slice expires one window before the lease: the window stands in for a task's action timeout.
+        terms = Terms(timedelta(seconds=ttl), window, get_number(raw, "drift", 0.01, "shared."))
     except ValueError as error:
-        key, _, what = str(error).partition(":")
-        ours = {"act_ms": "window_ms", "bound": "cold_sends", "need": "failures"}
-        raise ConfigError(f"shared.{ours.get(key, key)}:{what}") from None
+        key, _, message = str(error).partition(":")
+        setting_keys = {"act_ms": "window_ms", "bound": "cold_sends", "need": "failures"}
+        raise ConfigError(f"shared.{setting_keys.get(key, key)}:{message}") from None
     if 2 * (every + 3 * call) > terms.span - window:
-        raise ConfigError("shared.ttl_s: too short, two rounds (every_ms, 3 calls) must fit beside window_ms")
-    return Shared(engine, terms, call, every, budget, rule, number(raw, "clock_rate", 1.0, "shared."))
+        raise ConfigError("shared.ttl_s: too short, must fit two rounds (every_ms, 3 calls) and window_ms")
+    return Shared(engine, terms, call, every, budget, rule, get_number(raw, "clock_rate", 1.0, "shared."))
 
 
-def number(raw: dict, key: str, default: float, where: str) -> float:
-    """Give a number."""
+def get_number(raw: dict, key: str, default: float, where: str) -> float:
+    """Return a number, or the default if the key is absent."""
     value = raw.get(key, default)
     if not isinstance(value, int | float) or isinstance(value, bool):
         raise ConfigError(f"{where}{key}: must be a number")
     return float(value)
 
 
-def settings(told: dict, where: str) -> Settings:
-    """Check the settings, whose names and units are the simulator's."""
-    fields = dict(flatten(told))
+def parse_settings(raw_settings: dict, where: str) -> Settings:
+    """Validate the settings, which use the simulator's names and units."""
+    fields = dict(flatten(raw_settings))
     for key, value in fields.items():
-        # Guards against a span that no clock can count, which would end the program without its key's name.
+        # A duration beyond the clock's range would end the program later, without naming the key.
         with suppress(ValueError):
-            if not abs(float(value)) <= MOST:
-                raise ConfigError(f"{where}{key}: must be a number of at most {MOST}")
+            if not abs(float(value)) <= MAX_NUMBER:
+                raise ConfigError(f"{where}{key}: must be a number of at most {MAX_NUMBER}")
     try:
         return read_settings(fields)
     except (WireError, ValueError) as error:
         raise ConfigError(f"{where}{error}") from None
 
 
-def limited(told: dict, where: str) -> None:
-    """Check that each class's times and the number of attempts are numbers above 0, as the file writes them.
+def check_positive_settings(raw_settings: dict, where: str) -> None:
+    """Check that the times of each class and the number of attempts are positive numbers in the file itself.
 
-    Guards against a file in which a string or 0 stands for them: the simulator's wire cannot tell them."""
-    lanes = told.get("lanes")
+    Once flattened to the simulator's wire format, a string or a 0 is indistinguishable from a valid value."""
+    lanes = raw_settings.get("lanes")
     if not isinstance(lanes, list) or not lanes:
         raise ConfigError(f"{where}lanes: " + ("is missing" if lanes is None else "must be a list"))
     for index, lane in enumerate(lanes):
         if not isinstance(lane, dict):
             raise ConfigError(f"{where}lanes.{index}: must be an object")
         if "name" in lane and lane["name"] in [each.get("name") for each in lanes[:index]]:
-            raise ConfigError(f"{where}lanes.{index}.name: is another class's too")
+            raise ConfigError(f"{where}lanes.{index}.name: is used by another class")
         for key in ("target", "hard_limit"):
-            above_zero(lane, key, f"{where}lanes.{lane.get('name', index)}.")
-    allowed = told.get("allowed")
+            check_positive(lane, key, f"{where}lanes.{lane.get('name', index)}.")
+    allowed = raw_settings.get("allowed")
     if isinstance(allowed, dict) and "attempts_cap" in allowed:
-        above_zero(allowed, "attempts_cap", f"{where}allowed.")
+        check_positive(allowed, "attempts_cap", f"{where}allowed.")
 
 
-def above_zero(raw: dict, key: str, where: str) -> None:
-    """Check a number that must be there and above 0."""
+def check_positive(raw: dict, key: str, where: str) -> None:
+    """Check that a number is present and above 0."""
     value = raw.get(key)
     if value is None:
         raise ConfigError(f"{where}{key}: is missing")
@@ -366,24 +374,24 @@
         raise ConfigError(f"{where}{key}: must be a number above 0")
 
 
-def kept(old: object, new: object, where: str = "") -> None:
-    """Check that a file read anew has every key of the one in force, in all objects below the top.
+def check_no_key_missing(old: object, new: object, where: str = "") -> None:
+    """Check that a reloaded file has every key of the active one, at all levels.
 
-    Guards against a file cut short or written in part, which would take defaults for what it lacks."""
+    In a truncated or partly written file, the missing keys would otherwise fall back to their defaults."""
     if not isinstance(old, dict):
         return
     if not isinstance(new, dict):
         raise ConfigError(f"{where.rstrip('.')}: must be an object")
     for key, value in old.items():
-        if where == "" and key in IGNORED:
+        if where == "" and key in IGNORED_FIELDS:
             continue
         if key not in new:
             raise ConfigError(f"{where}{key}: is missing")
-        kept(value, new[key], f"{where}{key}.")
+        check_no_key_missing(value, new[key], f"{where}{key}.")
 
 
 def flatten(value: object, path: str = "") -> Iterator[tuple[str, str]]:
-    """Give nested settings as the simulator's wire writes them."""
+    """Flatten nested settings to the names and values of the simulator's wire format."""
     if isinstance(value, dict):
         for key, each in value.items():
             yield from flatten(each, f"{path}.{key}" if path else key)
@@ -399,65 +407,65 @@
         yield path, str(value)
 
 
-def limits(raw: dict) -> Limits:
-    """Check the limits."""
+def parse_limits(raw: dict) -> Limits:
+    """Validate the [limits] section."""
     return Limits(
-        memory=whole(raw, "memory_mb", 192, 32, "limits.") * MEGABYTE,
-        sockets=whole(raw, "sockets", 1024, 64, "limits."),
+        memory=get_integer(raw, "memory_mb", 192, 32, "limits.") * MEGABYTE,
+        sockets=get_integer(raw, "sockets", 1024, 64, "limits."),
     )
 
 
-def group(raw: dict, key: str, where: str = "", needed: bool = False) -> dict:
-    """Give a part that must be an object, empty where it may be left out."""
+def get_section(raw: dict, key: str, where: str = "", required: bool = False) -> dict:
+    """Return a section, which must be an object; an optional one defaults to an empty object."""
     value = raw.get(key)
-    if value is None and not needed:
+    if value is None and not required:
         return {}
     if not isinstance(value, dict):
         raise ConfigError(f"{where}{key}: " + ("is missing" if value is None else "must be an object"))
     return value
 
 
-def text(raw: dict, key: str, where: str = "") -> str:
-    """Give a text that must be there."""
+def get_text(raw: dict, key: str, where: str = "") -> str:
+    """Return a required, non-empty string."""
     value = raw.get(key)
     if not isinstance(value, str) or not value:
-        raise ConfigError(f"{where}{key}: " + ("is missing" if value is None else "must be a text"))
+        raise ConfigError(f"{where}{key}: " + ("is missing" if value is None else "must be a string"))
     return value
 
 
-def whole(raw: dict, key: str, default: int, least: int, where: str = "") -> int:
-    """Give a whole number with a least value."""
+def get_integer(raw: dict, key: str, default: int, minimum: int, where: str = "") -> int:
+    """Return an integer that is at least `minimum`, or the default if the key is absent."""
     value = raw.get(key, default)
     if not isinstance(value, int | float) or isinstance(value, bool) or not isfinite(value) or value % 1:
         raise ConfigError(f"{where}{key}: must be a whole number")
-    if value < least:
-        raise ConfigError(f"{where}{key}: must be at least {least}")
-    if value > MOST:
-        raise ConfigError(f"{where}{key}: must be at most {MOST}")
+    if value < minimum:
+        raise ConfigError(f"{where}{key}: must be at least {minimum}")
+    if value > MAX_NUMBER:
+        raise ConfigError(f"{where}{key}: must be at most {MAX_NUMBER}")
     return int(value)
 
 
-def nanoseconds(raw: dict, key: str, default: int, where: str) -> timedelta:
-    """Give a span that is written in nanoseconds."""
-    return timedelta(microseconds=whole(raw, key, default, 1, where) / 1000)
+def get_nanoseconds(raw: dict, key: str, default: int, where: str) -> timedelta:
+    """Return a duration given in nanoseconds."""
+    return timedelta(microseconds=get_integer(raw, key, default, 1, where) / 1000)
 
 
-def milliseconds(raw: dict, key: str, default: int, where: str) -> timedelta:
-    """Give a span that is written in milliseconds."""
-    return timedelta(milliseconds=whole(raw, key, default, 1, where))
+def get_milliseconds(raw: dict, key: str, default: int, where: str) -> timedelta:
+    """Return a duration given in milliseconds."""
+    return timedelta(milliseconds=get_integer(raw, key, default, 1, where))
 
 
-def address(raw: dict, key: str) -> tuple[str, int]:
-    """Give a host and port."""
-    host, sign, port = text(raw, key).rpartition(":")
-    if not sign or not host or not port.isdecimal() or not 0 < int(port) < 65536:
+def parse_address(raw: dict, key: str) -> tuple[str, int]:
+    """Parse a HOST:PORT address."""
+    host, separator, port = get_text(raw, key).rpartition(":")
+    if not separator or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ConfigError(f"{key}: must be HOST:PORT")
     return host.strip("[]"), int(port)
 
 
-def seed(value: object) -> int:
-    """Give the seed, which is told in hex."""
+def parse_seed(value: object) -> int:
+    """Parse the seed, a number or a hexadecimal string."""
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise ConfigError("seed: must be a number in hex") from None
+        raise ConfigError("seed: must be a hexadecimal number") from None
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -14,7 +14,7 @@
 from aiohttp import web
 
 from hoplane import log
-from hoplane.config import Config, ConfigError, text
+from hoplane.config import Config, ConfigError, get_text
 from hoplane.core.events import Asked, Closing, Endpoint, Forward, Listed, Reloaded, Turned
 from hoplane.decision.interface import Settings, State, Status
 from hoplane.net.aio import waited
@@ -66,16 +66,16 @@
 
 def read_entry(each: dict) -> Endpoint:
     """Translate an entry of the list; a status that the protocol does not name gets nothing new."""
-    status = text(each, "status")
+    status = get_text(each, "status")
     if status not in STATES:
         log.write_event_limited(
             "list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains"
         )
     return Endpoint(
-        text(each, "name"),
-        text(each, "address"),
-        text(each, "zone"),
-        text(each, "type"),
+        get_text(each, "name"),
+        get_text(each, "address"),
+        get_text(each, "zone"),
+        get_text(each, "type"),
         int(each["group"]),
         STATES.get(status, State.DRAINING),
         float(each.get("weight", 1.0)),
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from hoplane import log
-from hoplane.config import BODY_MOST, Config, Limits
+from hoplane.config import MAX_BODY_BYTES, Config, Limits
 from hoplane.core import permits
 from hoplane.core.permits import Denial, Phase
 from hoplane.core.transient import EXHAUSTED
@@ -71,7 +71,7 @@
     def take(self, data: bytes) -> bytes:
         """Take a piece of the stream in and give the whole events that may go out now."""
         self.taken += len(data)
-        if self.taken > BODY_MOST:
+        if self.taken > MAX_BODY_BYTES:
             raise ValueError("a stream over 256 KiB")
         data = self.part + data
         end = max((data.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in data), default=0)
@@ -147,7 +147,9 @@
         self.leaving: float | None = None  # when the drain began, on the loop's clock
         self.draining: asyncio.Task | None = None
         self.open = 0
-        self.door = Door(self.handle, problem, config.limits.clients, config.limits.turned_away, BODY_MOST)
+        self.door = Door(
+            self.handle, problem, config.limits.clients, config.limits.rejected_connections, MAX_BODY_BYTES
+        )
         self.door.advises = config.settings.retry_after
         self.listener: Listener | None = None
         self.ending = False  # SIGTERM came so long ago that SIGKILL could cut what is taken now
@@ -238,13 +240,13 @@
     def size(request: web.BaseRequest) -> int:
         """Give how much memory a body may take; one of untold length may take the most."""
         if request.content_length is None:
-            return BODY_MOST if request.can_read_body else 0
-        return min(request.content_length, BODY_MOST)
+            return MAX_BODY_BYTES if request.can_read_body else 0
+        return min(request.content_length, MAX_BODY_BYTES)
 
     async def read(self, request: web.BaseRequest) -> bytes | web.Response:
         """Read a body within the bounds, or give the answer that refuses it."""
         size = request.content_length
-        if size is not None and size > BODY_MOST:
+        if size is not None and size > MAX_BODY_BYTES:
             return problem(413, "the body is over 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
--- a/hoplane/tool.py
+++ b/hoplane/tool.py
@@ -53,7 +53,7 @@
     """Write an application's files into a folder. Existing files are not overwritten."""
     lb_endpoints = []
     for endpoint in endpoints:
-        host, port = configuration.address({"endpoint": endpoint}, "endpoint")
+        host, port = configuration.parse_address({"endpoint": endpoint}, "endpoint")
         socket = {"address": host, "port_value": port}
         lb_endpoints.append({"endpoint": {"address": {"socket_address": socket}}, "health_status": "HEALTHY"})
     cluster = {
@@ -119,7 +119,7 @@
     options = parser.parse_args(arguments)
     try:
         if options.command == "init":
-            configuration.address({"listen": options.listen}, "listen")
+            configuration.parse_address({"listen": options.listen}, "listen")
             for path in init(options.folder, options.name, options.listen, options.endpoint, options.once):
                 print(path)
         else:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 from standins import SETTINGS, free_port, message, within
 
-from hoplane.config import platform
+from hoplane.config import from_platform
 from hoplane.net import aio, server
 
 ASKED = message("GET /x HTTP/1.1", Host="h")
@@ -53,7 +53,7 @@
 async def serving(handler=well, most=9):
     port = free_port()
     told = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-    serves = server.Server(platform(told), handler, problem)
+    serves = server.Server(from_platform(told), handler, problem)
     serves.door.most = most
     await serves.start()
     serves.port = port
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -23,7 +23,7 @@
     [
         ("[lease]\n", "lease.engine: "),
         ('[lease]\nengine = ["nowhere"]\n', "lease.engine.0: "),
-        (f"[lease]\n{ENGINE}ttl = 5\n", "lease.ttl: is not known"),
+        (f"[lease]\n{ENGINE}ttl = 5\n", "lease.ttl: unknown key"),
         (f"[lease]\n{ENGINE}ttl_s = 0\n", "lease.ttl_s: "),
         (f"[lease]\n{ENGINE}act_ms = 2000\n", "lease.act_ms: too long"),
         (f"[lease]\n{ENGINE}call_ms = 2000\n", "lease.call_ms: "),
@@ -47,7 +47,7 @@
 
 def test_budgets_do_not_go_with_places_ahead(tmp_path):
     text = FILE.replace("[settings.family_info]\n", "[settings.family_info]\nahead = true\n")
-    with pytest.raises(ConfigError, match="^shared: cannot go with"):
+    with pytest.raises(ConfigError, match="^shared: not supported with settings.family_info.ahead"):
         read(tmp_path, f"[shared]\n{ENGINE}most = 3\n", text)
 
 
--- a/tests/test_odd_settings.py
+++ b/tests/test_odd_settings.py
@@ -7,7 +7,7 @@
 import pytest
 from standins import SETTINGS
 
-from hoplane.config import ConfigError, platform
+from hoplane.config import ConfigError, from_platform
 from hoplane.core.pacing import Pacing
 from hoplane.decision.rules import Router
 
@@ -22,7 +22,7 @@
 
 def load(settings):
     told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings}
-    return platform(orjson.loads(orjson.dumps(told)))
+    return from_platform(orjson.loads(orjson.dumps(told)))
 
 
 def places(value, path=()):
@@ -61,7 +61,7 @@
     lane = SETTINGS["lanes"][0]
     lanes = [{**lane, "name": f"class {n}"} for n in range(40)]
     assert len(load({**SETTINGS, "lanes": lanes, "projects": []}).settings.classes) == 40
-    with pytest.raises(ConfigError, match="lanes.1.name: is another class's too"):
+    with pytest.raises(ConfigError, match="lanes.1.name: is used by another class"):
         load({**SETTINGS, "lanes": [lane, lane]})
     nameless = {key: value for key, value in lane.items() if key != "name"}
     with pytest.raises(ConfigError, match="lanes.0.name is missing"):
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -10,7 +10,7 @@
 from conftest import settings
 from standins import SETTINGS, Server, entry, message, within
 
-from hoplane.config import platform
+from hoplane.config import from_platform
 from hoplane.core.events import Asked, Ended, Left
 from hoplane.core.pacing import Pacing
 from hoplane.decision.interface import KEPT, Status
@@ -30,7 +30,7 @@
 
 def start(reader, writer, **changes):
     told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS, **changes}
-    config = platform(told)
+    config = from_platform(told)
     runtime = Runtime(config, Pool(config), "/health/live", hold_path)
     entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
     runtime.feed(read_list({"index": 1, "snapshot": True, "endpoints": entries}))
@@ -82,7 +82,7 @@
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        answer = await Door(platform(told), broken, problem).handle(None)
+        answer = await Door(from_platform(told), broken, problem).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
 
     asyncio.run(within(test(), 60))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -45,12 +45,12 @@
         from hoplane import config
 
         try:
-            config.descriptor("three")
+            config.parse_descriptor("three")
         except config.ConfigError as error:
             assert str(error).startswith("EDGE_SOCKET_FD:")
         else:
             raise AssertionError("a bad descriptor was taken")
-        assert config.descriptor("3") == 3 and config.descriptor(None) is None
+        assert config.parse_descriptor("3") == 3 and config.parse_descriptor(None) is None
         await asyncio.sleep(0)
 
     run(test())
