--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -1,6 +1,7 @@
-"""The simulator's wire on standard input and output, to and from `hoplane.decision.interface`.
+"""Serves the simulator's wire protocol on standard input and output.
 
-Hosts any number of instances that share nothing. It translates and decides nothing.
+Hosts any number of independent routers. It only translates between lines and `hoplane.decision.interface`;
+the routers make all decisions.
 """
 
 from __future__ import annotations
@@ -31,45 +32,45 @@
     "handover": api.Status.MISS,
 }
 BOOLS = {"1": True, "0": False, "true": True, "false": False}
-FLEETS = {"Partial": False, "Complete": True, "Persisted": True}
-PLACES = {"1": True, "2": False}
+COMPLETE_BY_LIST_KIND = {"Partial": False, "Complete": True, "Persisted": True}
+RESERVED_BY_TOPIC = {"1": True, "2": False}
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the wire protocol."""
 
 
-def split_fields(words: Iterable[str]) -> Fields:
-    """Take a line's name=value parts apart."""
+def split_fields(parts: Iterable[str]) -> Fields:
+    """Parse the name=value parts of a line."""
     fields: Fields = {}
-    for word in words:
-        name, sign, value = word.partition("=")
-        if not sign or not name:
-            raise WireError(f"{word!r} is not of the form name=value")
+    for part in parts:
+        name, separator, value = part.partition("=")
+        if not separator or not name:
+            raise WireError(f"{part!r} is not of the form name=value")
         fields[name] = value
     return fields
 
 
-def text(fields: Fields, name: str) -> str:
-    """Give a field that must be there."""
+def get_text(fields: Fields, name: str) -> str:
+    """Return a required field."""
     try:
         return fields[name]
     except KeyError:
         raise WireError(f"{name} is missing") from None
 
 
-def whole(fields: Fields, name: str) -> int:
-    """Give a field that must be there as a whole number."""
-    value = text(fields, name)
+def get_integer(fields: Fields, name: str) -> int:
+    """Return a required field as an integer."""
+    value = get_text(fields, name)
     try:
         return int(value)
     except ValueError:
         raise WireError(f"{name}={value} is not a whole number") from None
 
 
-def number(fields: Fields, name: str) -> float:
-    """Give a field that must be there as a finite number."""
-    value = text(fields, name)
+def get_number(fields: Fields, name: str) -> float:
+    """Return a required field as a finite number."""
+    value = get_text(fields, name)
     try:
         result = float(value)
     except ValueError:
@@ -79,88 +80,94 @@
     return result
 
 
-def ticks(fields: Fields, name: str) -> int:
-    """Give a time that must be there; it may be written with a point."""
-    value = text(fields, name)
-    return int(value) if value.isdecimal() else round(number(fields, name))
+def get_ticks(fields: Fields, name: str) -> int:
+    """Return a required time in nanoseconds; a decimal fraction is rounded."""
+    value = get_text(fields, name)
+    return int(value) if value.isdecimal() else round(get_number(fields, name))
 
 
-def choice(fields: Fields, name: str, words: dict) -> object:
-    """Give a field that must be there and one of the words."""
-    value = text(fields, name)
-    if value not in words:
-        raise WireError(f"{name}={value} is none of {', '.join(words)}")
-    return words[value]
+def get_choice(fields: Fields, name: str, values: dict) -> object:
+    """Return the value that a required field selects from a table."""
+    value = get_text(fields, name)
+    if value not in values:
+        raise WireError(f"{name}={value} is not one of {', '.join(values)}")
+    return values[value]
 
 
-def flag(fields: Fields, name: str) -> bool:
-    """Give a field that must be there as a truth value."""
-    return bool(choice(fields, name, BOOLS))
+def get_flag(fields: Fields, name: str) -> bool:
+    """Return a required field as a boolean."""
+    return bool(get_choice(fields, name, BOOLS))
 
 
-def given(fields: Fields, table: dict[str, tuple[str, Callable]]) -> dict:
-    """Translate those fields of a table that are there; the interface says what holds for the rest."""
+def convert_present(fields: Fields, table: dict[str, tuple[str, Callable]]) -> dict:
+    """Convert the fields of a table that are present; the interface has defaults for the rest."""
     return {name: read(fields, key) for name, (key, read) in table.items() if fields.get(key, "") != ""}
 
 
-def listed(fields: Fields, name: str) -> list[str]:
-    """Give a comma-joined list; an absent one is empty."""
+def get_list(fields: Fields, name: str) -> list[str]:
+    """Return a comma-separated list, empty if the field is absent."""
     value = fields.get(name, "")
     return value.split(",") if value else []
 
 
-def at_index(fields: Fields, name: str, index: int) -> Fields:
-    """Give one value of a comma-joined list as a field of its own, empty where the list ends before."""
-    values = listed(fields, name)
+def get_list_item(fields: Fields, name: str, index: int) -> Fields:
+    """Return one item of a comma-separated list as a field of its own, or no field if the list is shorter."""
+    values = get_list(fields, name)
     return {name: values[index]} if index < len(values) else {}
 
 
 # --- settings
 
 CLASS_FIELDS = {
-    "worth": ("worth", number),
-    "late_worth": ("late_worth", number),
-    "group": ("group", lambda fields, key: choice(fields, key, {group.value: group for group in api.Group})),
-    "window": ("window", ticks),
+    "worth": ("worth", get_number),
+    "late_worth": ("late_worth", get_number),
+    "group": (
+        "group",
+        lambda fields, key: get_choice(fields, key, {group.value: group for group in api.Group}),
+    ),
+    "window": ("window", get_ticks),
 }
-TENANT_FIELDS = {"share": ("share", number), "quota_per_s": ("quota_per_s", number)}
+TENANT_FIELDS = {"share": ("share", get_number), "quota_per_s": ("quota_per_s", get_number)}
 SETTING_FIELDS = {
-    "routers": ("balancers", whole),
-    "position": ("position", whole),
-    "zone": ("my_zone", text),
-    "tick": ("tick", ticks),
-    "over_share_worth": ("over_share_worth", number),
-    "max_attempts": ("allowed.attempts_cap", whole),
-    "cancel": ("allowed.cancel", flag),
-    "second_copies": ("allowed.second_copies", flag),
-    "probes": ("allowed.probes", flag),
-    "peers": ("allowed.may_tell", flag),
-    "retry_after": ("allowed.retry_after", flag),
-    "max_retry_after": ("allowed.max_retry_after", ticks),
-    "reserve_ahead": ("family_info.ahead", flag),
-    "resume": ("family_info.resume", flag),
-    "writers_read": ("family_info.local_read", flag),
-    "release_within": ("family_info.release_within", ticks),
-    "far_price": ("family_info.transfer_price", number),
-    "must_subscribe": ("discovery", lambda fields, key: choice(fields, key, {"ask": True, "push": False})),
-    "probe_price": ("prices.probe", number),
-    "answer_slack": ("rules.answer_slack", ticks),
-    "drain_grace": ("rules.drain_grace", ticks),
-    "cold": ("rules.cold", ticks),
-    "cold_share": ("rules.cold_share", number),
-    "fall_multiple": ("rules.overload_factor", number),
-    "fall": ("rules.fall", ticks),
+    "routers": ("balancers", get_integer),
+    "position": ("position", get_integer),
+    "zone": ("my_zone", get_text),
+    "tick": ("tick", get_ticks),
+    "over_share_worth": ("over_share_worth", get_number),
+    "max_attempts": ("allowed.attempts_cap", get_integer),
+    "cancel": ("allowed.cancel", get_flag),
+    "second_copies": ("allowed.second_copies", get_flag),
+    "probes": ("allowed.probes", get_flag),
+    "peers": ("allowed.may_tell", get_flag),
+    "retry_after": ("allowed.retry_after", get_flag),
+    "max_retry_after": ("allowed.max_retry_after", get_ticks),
+    "reserve_ahead": ("family_info.ahead", get_flag),
+    "resume": ("family_info.resume", get_flag),
+    "writers_read": ("family_info.local_read", get_flag),
+    "release_within": ("family_info.release_within", get_ticks),
+    "far_price": ("family_info.transfer_price", get_number),
+    "must_subscribe": (
+        "discovery",
+        lambda fields, key: get_choice(fields, key, {"ask": True, "push": False}),
+    ),
+    "probe_price": ("prices.probe", get_number),
+    "answer_slack": ("rules.answer_slack", get_ticks),
+    "drain_grace": ("rules.drain_grace", get_ticks),
+    "cold": ("rules.cold", get_ticks),
+    "cold_share": ("rules.cold_share", get_number),
+    "fall_multiple": ("rules.overload_factor", get_number),
+    "fall": ("rules.fall", get_ticks),
 }
 
 
-def part(fields: Fields, path: str) -> Fields:
-    """Give the settings below a path."""
+def get_section(fields: Fields, path: str) -> Fields:
+    """Return the settings below a path, with the path removed from their names."""
     return {name[len(path) :]: value for name, value in fields.items() if name.startswith(path)}
 
 
 @contextmanager
-def below(path: str) -> Iterator[None]:
-    """Put the path of a part ahead of what is wrong in it."""
+def error_path(path: str) -> Iterator[None]:
+    """Prefix the errors raised in a section with its path."""
     try:
         yield
     except WireError as error:
@@ -168,141 +175,159 @@
 
 
 def class_settings(fields: Fields, index: int) -> api.ClassSettings:
-    """Translate one class of requests."""
+    """Convert the settings of one request class."""
     path = f"lanes.{index}."
-    own = part(fields, path)
+    section = get_section(fields, path)
     key = "family_info.token_aim"
-    extra = given(at_index(fields, key, index), {"token_aim": (key, ticks)})
+    optional = convert_present(get_list_item(fields, key, index), {"token_aim": (key, get_ticks)})
     key = "family_info.aim_us_per_1000_prompt_tokens"
-    if stretch := at_index(fields, key, index):
-        extra["aim_per_1000"] = round(number(stretch, key) * 1000)
-    with below(path):
-        extra |= given(own, CLASS_FIELDS)
-        times = ticks(own, "target"), ticks(own, "hard_limit")
-        return api.ClassSettings(text(own, "name"), *times, choice(own, "idempotency", EFFECTS), **extra)
+    if item := get_list_item(fields, key, index):
+        optional["aim_per_1000"] = round(get_number(item, key) * 1000)
+    with error_path(path):
+        optional |= convert_present(section, CLASS_FIELDS)
+        times = get_ticks(section, "target"), get_ticks(section, "hard_limit")
+        return api.ClassSettings(
+            get_text(section, "name"), *times, get_choice(section, "idempotency", EFFECTS), **optional
+        )
 
 
 def kind_settings(fields: Fields, name: str, index: int) -> api.KindSettings:
-    """Translate one kind of server."""
-    duty = at_index(fields, "family_info.duty_by_kind", index)
-    role = choice(duty, "family_info.duty_by_kind", {role.value: role for role in api.Role})
+    """Convert the settings of one kind of server."""
+    duty = get_list_item(fields, "family_info.duty_by_kind", index)
+    role = get_choice(duty, "family_info.duty_by_kind", {role.value: role for role in api.Role})
     key = "family_info.memory_tokens"
-    return api.KindSettings(name, role, **given(at_index(fields, key, index), {"memory": (key, ticks)}))
+    return api.KindSettings(
+        name, role, **convert_present(get_list_item(fields, key, index), {"memory": (key, get_ticks)})
+    )
 
 
 def tenant_settings(fields: Fields, index: int) -> api.TenantSettings:
-    """Translate one tenant."""
+    """Convert the settings of one tenant."""
     path = f"projects.{index}."
-    own = part(fields, path)
-    with below(path):
-        return api.TenantSettings(text(own, "name"), **given(own, TENANT_FIELDS))
+    section = get_section(fields, path)
+    with error_path(path):
+        return api.TenantSettings(get_text(section, "name"), **convert_present(section, TENANT_FIELDS))
 
 
-def count(fields: Fields, name: str) -> range:
-    """Give the indices of a list of objects; an absent list is empty."""
-    return range(whole(fields, name)) if name in fields else range(0)
+def list_indices(fields: Fields, name: str) -> range:
+    """Return the indices of a list of objects; an absent list is empty."""
+    return range(get_integer(fields, name)) if name in fields else range(0)
 
 
-REPORTS = {"waiting_tokens_field": "thousands_of_prompt_tokens", "held_memory_field": "share_of_memory"}
+LOAD_COLUMN_DESCRIPTIONS = {
+    "waiting_tokens_field": "thousands_of_prompt_tokens",
+    "held_memory_field": "share_of_memory",
+}
 
 
-def read_reports(fields: Fields) -> dict[str, str]:
-    """Find the columns of load reports that we know, by what the settings say that they tell."""
-    columns = listed(fields, "reporting.columns")
-    told = {name: fields.get(f"family_info.report_{name}", "").replace(" ", "_") for name in columns}
-    return {key: name for key, start in REPORTS.items() for name in columns if told[name].startswith(start)}
+def read_load_columns(fields: Fields) -> dict[str, str]:
+    """Map the router's load report settings to column names, by the descriptions in the settings."""
+    columns = get_list(fields, "reporting.columns")
+    descriptions = {name: fields.get(f"family_info.report_{name}", "").replace(" ", "_") for name in columns}
+    return {
+        key: name
+        for key, prefix in LOAD_COLUMN_DESCRIPTIONS.items()
+        for name in columns
+        if descriptions[name].startswith(prefix)
+    }
 
 
 def read_settings(fields: Fields) -> api.Settings:
-    """Translate what an instance is told at start."""
+    """Convert the settings of a router."""
     return api.Settings(
-        kinds=tuple(kind_settings(fields, name, index) for index, name in enumerate(listed(fields, "kinds"))),
-        classes=tuple(class_settings(fields, index) for index in count(fields, "lanes.count")),
-        tenants=tuple(tenant_settings(fields, index) for index in count(fields, "projects.count")),
-        **given(fields, SETTING_FIELDS),
-        **read_reports(fields),
+        kinds=tuple(
+            kind_settings(fields, name, index) for index, name in enumerate(get_list(fields, "kinds"))
+        ),
+        classes=tuple(class_settings(fields, index) for index in list_indices(fields, "lanes.count")),
+        tenants=tuple(tenant_settings(fields, index) for index in list_indices(fields, "projects.count")),
+        **convert_present(fields, SETTING_FIELDS),
+        **read_load_columns(fields),
     )
 
 
 # --- events
 
 REQUEST_FIELDS = {
-    "session": ("thread", text),
-    "prefix": ("prefix", text),
-    "prefix_len": ("shared_len", whole),
-    "hint": ("estimate", ticks),
-    "tenant": ("party", text),
-    "retry": ("repeat", flag),
-    "resumed": ("came_back", flag),
+    "session": ("thread", get_text),
+    "prefix": ("prefix", get_text),
+    "prefix_len": ("shared_len", get_integer),
+    "hint": ("estimate", get_ticks),
+    "tenant": ("party", get_text),
+    "retry": ("repeat", get_flag),
+    "resumed": ("came_back", get_flag),
 }
 
 
 def read_entry(fields: Fields) -> api.ServerEntry:
-    """Translate a line of a server list."""
+    """Convert one entry of a server list."""
     return api.ServerEntry(
-        server=whole(fields, "engine"),
-        kind=text(fields, "kind"),
-        zone=text(fields, "dc"),
-        cell=whole(fields, "unit_group"),
-        state=choice(fields, "condition", STATES),
-        **given(fields, {"weight": ("weight", number), "started_at": ("born", ticks)}),
+        server=get_integer(fields, "engine"),
+        kind=get_text(fields, "kind"),
+        zone=get_text(fields, "dc"),
+        cell=get_integer(fields, "unit_group"),
+        state=get_choice(fields, "condition", STATES),
+        **convert_present(fields, {"weight": ("weight", get_number), "started_at": ("born", get_ticks)}),
     )
 
 
-def read_gauge(fields: Fields) -> dict[str, float]:
-    """Translate a load report; there may be none."""
-    pairs = (pair.partition(":") for pair in listed(fields, "gauge"))
-    return {name: number({name: value}, name) for name, _, value in pairs}
+def read_load(fields: Fields) -> dict[str, float]:
+    """Convert a load report, empty if absent."""
+    pairs = (pair.partition(":") for pair in get_list(fields, "gauge"))
+    return {name: get_number({name: value}, name) for name, _, value in pairs}
 
 
 def read_request(fields: Fields) -> api.Request:
-    """Translate a request."""
+    """Convert a request."""
     return api.Request(
-        text(fields, "req"),
-        text(fields, "priority"),
-        whole(fields, "n_prompt"),
-        whole(fields, "max_tokens"),
-        ticks(fields, "grace"),
-        **given(fields, REQUEST_FIELDS),
+        get_text(fields, "req"),
+        get_text(fields, "priority"),
+        get_integer(fields, "n_prompt"),
+        get_integer(fields, "max_tokens"),
+        get_ticks(fields, "grace"),
+        **convert_present(fields, REQUEST_FIELDS),
     )
 
 
 def attempt_fields(fields: Fields) -> tuple[str, int, int]:
-    """Give what names an attempt."""
-    return text(fields, "req"), whole(fields, "attempt"), whole(fields, "engine")
+    """Return the request id, attempt number and server that identify an attempt."""
+    return get_text(fields, "req"), get_integer(fields, "attempt"), get_integer(fields, "engine")
 
 
-def read_first(fields: Fields) -> api.FirstToken:
-    """Translate the begin of a stream."""
-    return api.FirstToken(*attempt_fields(fields), ticks(fields, "wait_time"))
+def read_first_token(fields: Fields) -> api.FirstToken:
+    """Convert the start of an answer's stream."""
+    return api.FirstToken(*attempt_fields(fields), get_ticks(fields, "wait_time"))
 
 
 def read_outcome(fields: Fields) -> api.Outcome:
-    """Translate the end of an attempt."""
-    status = choice(fields, "ending", STATUSES)
-    extra = given(fields, {"closed": ("closed", flag), "detail": ("info", whole)})
+    """Convert the outcome of an attempt."""
+    status = get_choice(fields, "ending", STATUSES)
+    optional = convert_present(fields, {"closed": ("closed", get_flag), "detail": ("info", get_integer)})
     return api.Outcome(
-        *attempt_fields(fields), status, ticks(fields, "wait_time"), load=read_gauge(fields), **extra
+        *attempt_fields(fields), status, get_ticks(fields, "wait_time"), load=read_load(fields), **optional
     )
 
 
-def read_place(fields: Fields) -> api.ReservationResult:
-    """Translate the answer to a hold."""
-    return api.ReservationResult(*attempt_fields(fields), bool(choice(fields, "topic", PLACES)))
+def read_reservation_result(fields: Fields) -> api.ReservationResult:
+    """Convert the result of a reservation."""
+    return api.ReservationResult(
+        *attempt_fields(fields), bool(get_choice(fields, "topic", RESERVED_BY_TOPIC))
+    )
 
 
-def read_probed(fields: Fields) -> api.ProbeResult:
-    """Translate the result of a probe."""
-    status = choice(fields, "ending", STATUSES)
-    return api.ProbeResult(whole(fields, "engine"), status, ticks(fields, "wait_time"), read_gauge(fields))
+def read_probe_result(fields: Fields) -> api.ProbeResult:
+    """Convert the result of a probe."""
+    status = get_choice(fields, "ending", STATUSES)
+    return api.ProbeResult(
+        get_integer(fields, "engine"), status, get_ticks(fields, "wait_time"), read_load(fields)
+    )
 
 
-def read_peer(fields: Fields) -> api.PeerMessage:
-    """Translate a message of another router."""
-    data = text(fields, "msg")
+def read_peer_message(fields: Fields) -> api.PeerMessage:
+    """Convert a message from another router."""
+    data = get_text(fields, "msg")
     try:
         return api.PeerMessage(
-            whole(fields, "origin_peer"), b"" if data == "-" else base64.b64decode(data, validate=True)
+            get_integer(fields, "origin_peer"), b"" if data == "-" else base64.b64decode(data, validate=True)
         )
     except binascii.Error:
         raise WireError(f"msg={data} is not base64") from None
@@ -310,21 +335,21 @@
 
 EVENTS: dict[str, Callable[[Fields], api.Event]] = {
     "query": read_request,
-    "headers": read_first,
+    "headers": read_first_token,
     "report_back": read_outcome,
-    "hold_result": read_place,
-    "timed_out_client": lambda fields: api.ClientDisconnected(text(fields, "req")),
-    "bell": lambda fields: api.TimerFired(whole(fields, "handle")),
-    "probed": read_probed,
-    "note_from": read_peer,
+    "hold_result": read_reservation_result,
+    "timed_out_client": lambda fields: api.ClientDisconnected(get_text(fields, "req")),
+    "bell": lambda fields: api.TimerFired(get_integer(fields, "handle")),
+    "probed": read_probe_result,
+    "note_from": read_peer_message,
 }
 
 
 # --- actions
 
 
-def write_tell(action: api.SendPeerMessage) -> str:
-    """Write a message to other routers."""
+def write_peer_message(action: api.SendPeerMessage) -> str:
+    """Format a message to other routers."""
     data = base64.b64encode(action.data).decode() or "-"
     return f"dest={-1 if action.to is None else action.to} msg={data}"
 
@@ -339,14 +364,14 @@
     api.EndStream: ("reassign", lambda a: f"req={a.request_id}"),
     api.SetTimer: ("wake_me", lambda a: f"fire_at={a.at} handle={a.timer}"),
     api.Probe: ("ping", lambda a: f"engine={a.server}"),
-    api.SendPeerMessage: ("broadcast_to", write_tell),
+    api.SendPeerMessage: ("broadcast_to", write_peer_message),
     api.SubscribeServerList: ("observe", lambda a: "want=1"),
     api.Log: ("remark", lambda a: f"line={' '.join(a.text.split())}"),
 }
 
 
 def write_action(instance: str, action: api.Action) -> str:
-    """Write one action as a line."""
+    """Format one action as a line."""
     name, fields = ACTIONS[type(action)]
     return f"{name} router_id={instance} {fields(action)}"
 
@@ -355,68 +380,68 @@
 
 
 class Host:
-    """Plays batches to the instances and gathers their actions."""
+    """Passes batches of events to the routers and collects their actions."""
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
-        self.lists: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self.server_lists: dict[int, tuple[api.ServerEntry, ...]] = {}
         self.now = 0
 
-    def play(self, words: list[str], lines: Iterator[str]) -> Iterator[str]:
-        """Take one event line, with the list lines that belong to it, and give the actions' lines."""
-        name, fields = words[0], split_fields(words[1:])
+    def process(self, parts: list[str], lines: Iterator[str]) -> Iterator[str]:
+        """Process one event line and the list entries that follow it; yield the lines of the actions."""
+        name, fields = parts[0], split_fields(parts[1:])
         if name == "list":
-            self.lists[whole(fields, "slot")] = tuple(
-                self.next_entry(next(lines, "")) for _ in range(whole(fields, "records"))
+            self.server_lists[get_integer(fields, "slot")] = tuple(
+                self.next_entry(next(lines, "")) for _ in range(get_integer(fields, "records"))
             )
             return
         if name not in EVENTS and name not in ("enlist", "fleet", "destroy"):
             raise WireError(f"unknown message {name!r}")
-        instance = text(fields, "router_id")
+        instance = get_text(fields, "router_id")
         if name == "enlist":
-            self.routers[instance] = Router(read_settings(fields), whole(fields, "random_seed"))
+            self.routers[instance] = Router(read_settings(fields), get_integer(fields, "random_seed"))
             return
         if instance not in self.routers:
             raise WireError(f"{instance} has not been started")
         if name == "destroy":
             del self.routers[instance]
             return
-        event = self.read_fleet(fields) if name == "fleet" else EVENTS[name](fields)
+        event = self.read_list_update(fields) if name == "fleet" else EVENTS[name](fields)
         for action in self.routers[instance].handle(self.now, event):
             yield write_action(instance, action)
 
     def next_entry(self, line: str) -> api.ServerEntry:
-        """Translate a line that must be a list's entry."""
-        words = line.split()
-        if not words or words[0] != "entry":
+        """Parse a line, which must be an entry of a list."""
+        parts = line.split()
+        if not parts or parts[0] != "entry":
             raise WireError("an entry of the list is missing")
-        return read_entry(split_fields(words[1:]))
+        return read_entry(split_fields(parts[1:]))
 
-    def read_fleet(self, fields: Fields) -> api.ServerListUpdate:
-        """Translate a server list event."""
-        if text(fields, "kind") == "Error":
+    def read_list_update(self, fields: Fields) -> api.ServerListUpdate:
+        """Convert a server list update."""
+        if get_text(fields, "kind") == "Error":
             return api.ServerListUpdate(None, whole=False)
-        is_whole = bool(choice(fields, "kind", FLEETS))
-        slot = whole(fields, "slot")
-        if slot not in self.lists:
+        complete = bool(get_choice(fields, "kind", COMPLETE_BY_LIST_KIND))
+        slot = get_integer(fields, "slot")
+        if slot not in self.server_lists:
             raise WireError(f"slot={slot} has not been declared")
-        return api.ServerListUpdate(self.lists[slot], is_whole)
+        return api.ServerListUpdate(self.server_lists[slot], complete)
 
     def run(self, lines: Iterator[str], out: TextIO) -> None:
-        """Answer batches until the input ends."""
+        """Answer batches until the end of the input."""
         for line in lines:
-            words = line.split()
-            if not words or words[0] != "begin_batch":
-                raise WireError("a batch must open with begin_batch")
-            self.now = ticks(split_fields(words[1:]), "clock")
+            parts = line.split()
+            if not parts or parts[0] != "begin_batch":
+                raise WireError("a batch must start with begin_batch")
+            self.now = get_ticks(split_fields(parts[1:]), "clock")
             reply: list[str] = []
             for event in lines:
-                words = event.split()
-                if not words:
+                parts = event.split()
+                if not parts:
                     raise WireError("an empty line")
-                if words[0] == "eof_batch":
+                if parts[0] == "eof_batch":
                     break
-                reply.extend(self.play(words, lines))
+                reply.extend(self.process(parts, lines))
             else:
                 raise WireError("the input ends within a batch")
             reply.append("ok\n")
@@ -424,14 +449,14 @@
             out.flush()
 
 
-class Lines:
-    """Input lines, counted."""
+class LineCounter:
+    """Iterates over input lines and counts them."""
 
     def __init__(self, source: Iterable[str]) -> None:
         self.source = iter(source)
         self.number = 0
 
-    def __iter__(self) -> Lines:
+    def __iter__(self) -> LineCounter:
         return self
 
     def __next__(self) -> str:
@@ -441,8 +466,8 @@
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
-    lines = Lines(sys.stdin)
+    """Serve the wire protocol on standard input and output."""
+    lines = LineCounter(sys.stdin)
     try:
         Host().run(lines, sys.stdout)
     except (WireError, ValueError) as error:
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -35,7 +35,7 @@
 
 def play(*batches):
     out = io.StringIO()
-    adapter.Host().run(adapter.Lines(io.StringIO("".join(batches))), out)
+    adapter.Host().run(adapter.LineCounter(io.StringIO("".join(batches))), out)
     return out.getvalue()
 
 
@@ -68,7 +68,7 @@
 def test_a_restart_within_a_batch_forgets_everything():
     host = adapter.Host()
     text = batch(START + ASK + "destroy router_id=router-1\n" + START)
-    host.run(adapter.Lines(io.StringIO(text)), io.StringIO())
+    host.run(adapter.LineCounter(io.StringIO(text)), io.StringIO())
     assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
 
 
