--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on hand-written batches."""
+"""Tests the adapter with hand-written batches."""
 
 import io
 import subprocess
@@ -9,7 +9,7 @@
 from hoplane import adapter
 from hoplane.decision import interface as api
 
-CONF = (
+SETTINGS = (
     "allowed.attempts_cap=5 allowed.cancel=true balancers=2 family_info.duty_by_kind=read,write "
     "family_info.local_read=true family_info.memory_tokens=190000,150000 family_info.token_aim=60000000 "
     "family_info.aim_us_per_1000_prompt_tokens=40000.0 kinds=prefill,decode lanes.count=1 lanes.0.group=all "
@@ -17,13 +17,13 @@
     "lanes.0.worth=2.0 lanes.0.window=5000000000 my_zone=z position=0 rules.cold=14000000000 tick=2000000 "
     "projects.count=1 projects.0.name=t projects.0.quota_per_s=8.0 discovery=push some.new_key=5"
 )
-START = f"""enlist router_id=router-1 random_seed=5 {CONF}
+START_ROUTER = f"""enlist router_id=router-1 random_seed=5 {SETTINGS}
 list slot=0 records=2
 entry engine=7 dc=z kind=prefill unit_group=0 condition=live weight=1 new_field=x
 entry kind=decode engine=8 condition=live dc=z unit_group=0 born=0
 fleet router_id=router-1 kind=Persisted revision=1 slot=0
 """
-ASK = (
+QUERY = (
     "query router_id=router-1 max_tokens=256 req=rq_a n_prompt=1800 shared_len=1200 prefix=2b8e6401d9f37c10 "
     "party=t priority=chat thread=91f03b7c55d20a64 grace=4000000000\n"
 )
@@ -33,57 +33,61 @@
     return f"begin_batch clock={clock}\n{events}eof_batch\n"
 
 
-def play(*batches):
+def run_batches(*batches):
     out = io.StringIO()
     adapter.Host().run(adapter.LineCounter(io.StringIO("".join(batches))), out)
     return out.getvalue()
 
 
-def test_an_empty_batch_is_answered():
-    assert play(batch("")) == "ok\n"
+def test_empty_batch_is_answered():
+    assert run_batches(batch("")) == "ok\n"
 
 
-def test_a_request_goes_through_reader_and_writer():
+def test_request_is_sent_to_reader_then_writer():
     read = "report_back router_id=router-1 req=rq_a ending=handover info=0 wait_time=90 engine=7 attempt=0\n"
     first = "headers router_id=router-1 req=rq_a attempt=1 engine=8 wait_time=50\n"
     done = "report_back closed=1 req=rq_a ending=done router_id=router-1 wait_time=90 engine=8 attempt=1\n"
-    replies = play(batch(START + ASK), batch(read, 2000), batch(first, 3000), batch(done, 4000))
+    replies = run_batches(
+        batch(START_ROUTER + QUERY), batch(read, 2000), batch(first, 3000), batch(done, 4000)
+    )
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=7" in replies
     assert "pass_on router_id=router-1 req=rq_a within=0 engine=8" in replies
     assert replies.count("ok\n") == 4
 
 
 def test_field_order_does_not_matter():
-    head, *fields = ASK.split()
-    assert play(batch(START + ASK)) == play(batch(START + " ".join([head, *reversed(fields)]) + "\n"))
+    head, *fields = QUERY.split()
+    assert run_batches(batch(START_ROUTER + QUERY)) == run_batches(
+        batch(START_ROUTER + " ".join([head, *reversed(fields)]) + "\n")
+    )
 
 
-def test_a_list_number_used_again_within_a_batch_counts_in_order():
-    second = START.replace("router-1", "router-2").replace("engine=7", "engine=17")
-    replies = play(batch(START + second + ASK + ASK.replace("router-1", "router-2")))
+def test_reused_list_slot_applies_in_order_within_batch():
+    second = START_ROUTER.replace("router-1", "router-2").replace("engine=7", "engine=17")
+    replies = run_batches(batch(START_ROUTER + second + QUERY + QUERY.replace("router-1", "router-2")))
     assert "router-1 req=rq_a within=0 engine=7" in replies
     assert "router-2 req=rq_a within=0 engine=17" in replies
 
 
-def test_a_restart_within_a_batch_forgets_everything():
+def test_restart_within_batch_discards_all_state():
     host = adapter.Host()
-    text = batch(START + ASK + "destroy router_id=router-1\n" + START)
+    text = batch(START_ROUTER + QUERY + "destroy router_id=router-1\n" + START_ROUTER)
     host.run(adapter.LineCounter(io.StringIO(text)), io.StringIO())
     assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
 
 
-def test_the_columns_of_load_reports_are_known_by_what_they_tell():
-    told = (
+def test_load_report_columns_are_identified_by_description():
+    reporting = (
         "reporting.columns=x0,latency_ms,x1 family_info.report_x0=thousands_of_prompt_tokens_waiting "
         "family_info.report_x1=share_of_memory_that_is_held"
     )
-    settings = adapter.read_settings(adapter.split_fields(f"{CONF} {told}".split()))
+    settings = adapter.read_settings(adapter.split_fields(f"{SETTINGS} {reporting}".split()))
     assert (settings.waiting_tokens_field, settings.held_memory_field) == ("x0", "x1")
-    assert adapter.read_settings(adapter.split_fields(CONF.split())).waiting_tokens_field is None
+    assert adapter.read_settings(adapter.split_fields(SETTINGS.split())).waiting_tokens_field is None
 
 
-def test_settings_keep_the_interfaces_values_where_absent():
-    settings = adapter.read_settings(adapter.split_fields(CONF.split()))
+def test_absent_settings_use_interface_defaults():
+    settings = adapter.read_settings(adapter.split_fields(SETTINGS.split()))
     assert settings.classes == (
         api.ClassSettings(
             "chat",
@@ -121,7 +125,7 @@
         ),
     ],
 )
-def test_each_event_is_translated(line, event):
+def test_event_is_converted(line, event):
     name, *fields = line.split()
     assert adapter.EVENTS[name](adapter.split_fields(fields)) == event
 
@@ -144,29 +148,29 @@
         (api.Log("two\nlines"), "remark router_id=r line=two lines"),
     ],
 )
-def test_each_action_is_written(action, line):
+def test_action_is_formatted(action, line):
     assert adapter.write_action("r", action) == line
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "word"),
+    ("text", "line", "expected"),
     [
         ("bell router_id=router-1 handle=7\n", 1, "begin_batch"),
         ("begin_batch clock=soon\n", 1, "clock"),
         (batch("dance router_id=router-1\n"), 2, "dance"),
-        (batch(START + "bell router_id=router-1 handle=x\n"), 7, "handle"),
-        (batch(START + "bell router_id=router-1 handle\n"), 7, "handle"),
-        (batch(START + ASK.replace("n_prompt=1800 ", "")), 7, "n_prompt"),
-        (batch(START.replace("condition=live", "condition=odd", 1)), 4, "odd"),
-        (batch(START.replace("records=2", "records=3")), 6, "entry"),
-        (batch(START.replace("slot=0\n", "slot=4\n")), 6, "slot"),
+        (batch(START_ROUTER + "bell router_id=router-1 handle=x\n"), 7, "handle"),
+        (batch(START_ROUTER + "bell router_id=router-1 handle\n"), 7, "handle"),
+        (batch(START_ROUTER + QUERY.replace("n_prompt=1800 ", "")), 7, "n_prompt"),
+        (batch(START_ROUTER.replace("condition=live", "condition=odd", 1)), 4, "odd"),
+        (batch(START_ROUTER.replace("records=2", "records=3")), 6, "entry"),
+        (batch(START_ROUTER.replace("slot=0\n", "slot=4\n")), 6, "slot"),
         (batch("bell router_id=router-9 handle=1\n"), 2, "router-9"),
-        (batch(START.replace("duty_by_kind=read,write", "duty_by_kind=read,read")), 2, "kinds"),
+        (batch(START_ROUTER.replace("duty_by_kind=read,write", "duty_by_kind=read,read")), 2, "kinds"),
         ("begin_batch clock=5\n", 1, "ends"),
     ],
 )
-def test_what_is_malformed_is_told_plainly(text, line, word):
+def test_malformed_input_is_reported_with_its_line(text, line, expected):
     command = [sys.executable, "-m", "hoplane.adapter"]
     run = subprocess.run(command, input=text, capture_output=True, text=True, check=False)
     assert run.returncode != 0 and run.stdout == ""
-    assert len(run.stderr.splitlines()) == 1 and f"line {line}:" in run.stderr and word in run.stderr
+    assert len(run.stderr.splitlines()) == 1 and f"line {line}:" in run.stderr and expected in run.stderr
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -1,4 +1,4 @@
-"""The parts [lease] and [shared] of a file of ours: what is wrong is named."""
+"""Tests that errors in the [lease] and [shared] sections name the key at fault."""
 
 import re
 from datetime import timedelta
@@ -8,18 +8,18 @@
 
 from hoplane.config import ConfigError, load
 
-FILE = (Path(__file__).parent.parent / "deploy/kserve.toml").read_text()
+EXAMPLE_FILE = (Path(__file__).parent.parent / "deploy/kserve.toml").read_text()
 ENGINE = 'engine = ["127.0.0.1:2379"]\n'
 
 
-def read(tmp_path, part, text=FILE):
+def load_file(tmp_path, section, text=EXAMPLE_FILE):
     path = tmp_path / "hoplane.toml"
-    path.write_text(text + "\n" + part)
+    path.write_text(text + "\n" + section)
     return load({}, path)
 
 
 @pytest.mark.parametrize(
-    ("part", "key"),
+    ("section", "key"),
     [
         ("[lease]\n", "lease.engine: "),
         ('[lease]\nengine = ["nowhere"]\n', "lease.engine.0: "),
@@ -40,20 +40,20 @@
         (f"[shared]\n{ENGINE}most = 3\nfailures = 0\n", "shared.failures: "),
     ],
 )
-def test_a_part_that_cannot_hold_is_refused_with_its_key(tmp_path, part, key):
+def test_invalid_section_is_rejected_with_its_key(tmp_path, section, key):
     with pytest.raises(ConfigError, match="^" + re.escape(key)):
-        read(tmp_path, part)
+        load_file(tmp_path, section)
 
 
-def test_budgets_do_not_go_with_places_ahead(tmp_path):
-    text = FILE.replace("[settings.family_info]\n", "[settings.family_info]\nahead = true\n")
+def test_budgets_are_rejected_with_reservations_ahead(tmp_path):
+    text = EXAMPLE_FILE.replace("[settings.family_info]\n", "[settings.family_info]\nahead = true\n")
     with pytest.raises(ConfigError, match="^shared: not supported with settings.family_info.ahead"):
-        read(tmp_path, f"[shared]\n{ENGINE}most = 3\n", text)
+        load_file(tmp_path, f"[shared]\n{ENGINE}most = 3\n", text)
 
 
-def test_both_are_off_unless_the_file_names_them_and_have_defaults(tmp_path):
-    config = read(tmp_path, "")
+def test_sections_are_optional_and_have_defaults(tmp_path):
+    config = load_file(tmp_path, "")
     assert config.lease is None and config.shared is None
-    config = read(tmp_path, f"[lease]\n{ENGINE}[shared]\n{ENGINE}most = 6\n")
+    config = load_file(tmp_path, f"[lease]\n{ENGINE}[shared]\n{ENGINE}most = 6\n")
     assert config.lease.terms.ttl == timedelta(seconds=5) and config.lease.key == "hoplane/patrol"
     assert config.shared.cold.most == 6 and config.shared.rule.need == 3
--- a/tests/test_odd_settings.py
+++ b/tests/test_settings_validation.py
@@ -1,4 +1,4 @@
-"""Settings that another customer's file may hold: taken in whole, or turned down with the key's name."""
+"""Tests that unusual settings are either accepted or rejected with the name of the key at fault."""
 
 import copy
 import random
@@ -11,53 +11,53 @@
 from hoplane.core.pacing import Pacing
 from hoplane.decision.rules import Router
 
-TOLD = {
+VALID_SETTINGS = {
     **SETTINGS,
     "projects": [{"name": name, "share": 0.5, "quota_per_s": 3.0} for name in "ab"],
     "rules": {"drain_grace": 10**9, "fall": 10**9, "cold": 10**10, "cold_share": 0.3, "overload_factor": 2.5},
     "reporting": {"how": "pull", "columns": ["latency_ms", "x0"]},
 }
-ODD = (0, -1, "x", "", None, [], {}, 1.5, True, "nan", 1e30, -1e30, 10**18, [1], [None], {"a": 1})
+UNUSUAL_VALUES = (0, -1, "x", "", None, [], {}, 1.5, True, "nan", 1e30, -1e30, 10**18, [1], [None], {"a": 1})
 
 
 def load(settings):
-    told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings}
-    return from_platform(orjson.loads(orjson.dumps(told)))
+    raw = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": settings}
+    return from_platform(orjson.loads(orjson.dumps(raw)))
 
 
-def places(value, path=()):
-    """Give the way to every value below one."""
+def paths(value, path=()):
+    """Yield the path of every nested value."""
     items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for key, each in items:
         yield (*path, key)
-        yield from places(each, (*path, key))
+        yield from paths(each, (*path, key))
 
 
-@pytest.mark.parametrize("path", places(TOLD), ids=lambda path: ".".join(map(str, path)))
-def test_what_is_odd_or_missing_is_taken_or_named(path):
-    for value in (*ODD, KeyError):
-        settings = copy.deepcopy(TOLD)
-        at = settings
+@pytest.mark.parametrize("path", paths(VALID_SETTINGS), ids=lambda path: ".".join(map(str, path)))
+def test_unusual_or_missing_value_is_accepted_or_rejected_by_key(path):
+    for value in (*UNUSUAL_VALUES, KeyError):
+        settings = copy.deepcopy(VALID_SETTINGS)
+        parent = settings
         for key in path[:-1]:
-            at = at[key]
+            parent = parent[key]
         if value is KeyError:
-            del at[path[-1]]
+            del parent[path[-1]]
         else:
-            at[path[-1]] = value
+            parent[path[-1]] = value
         try:
             config = load(settings)
         except ConfigError as error:
             named = str(error).partition(":")[0].split("=")[0].split(" is ")[0]
             assert named.startswith("settings"), error
             if path[0] in ("lanes", "projects") and len(path) == 3:
-                own = (f"{path[0]}.{path[1]}.", "lanes.lookup.", "lanes.booking.")
-                assert any(each in named for each in own), error
+                expected = (f"{path[0]}.{path[1]}.", "lanes.lookup.", "lanes.booking.")
+                assert any(each in named for each in expected), error
             continue
         Router(config.settings, 1)
         Pacing(config.settings, random.Random(1)).failed(silent=True)
 
 
-def test_many_classes_and_no_tenant_are_taken_and_two_of_a_name_are_not():
+def test_many_classes_without_tenants_are_accepted_and_duplicate_names_rejected():
     lane = SETTINGS["lanes"][0]
     lanes = [{**lane, "name": f"class {n}"} for n in range(40)]
     assert len(load({**SETTINGS, "lanes": lanes, "projects": []}).settings.classes) == 40
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The tool writes a configuration that holds, and names what is faulty in one that does not."""
+"""Tests that the tool writes a valid configuration and names the key at fault in an invalid one."""
 
 import pytest
 
@@ -12,18 +12,18 @@
     return tmp_path / "app"
 
 
-def test_what_init_writes_checks_well(app, capsys):
+def test_init_writes_valid_configuration(app, capsys):
     assert tool.main(["check", str(app / "hoplane.toml")]) == 0
     assert "desk: 1 endpoints" in capsys.readouterr().out
-    assert tool.main(["init", str(app)]) == 2, "nothing is written over"
+    assert tool.main(["init", str(app)]) == 2, "existing files must not be overwritten"
 
 
-def test_the_files_of_the_repository_check_well():
+def test_example_configuration_is_valid():
     assert tool.main(["check", "deploy/kserve.toml"]) == 0
 
 
 @pytest.mark.parametrize(
-    ("file", "old", "new", "word"),
+    ("file", "old", "new", "expected"),
     [
         ("hoplane.toml", "sockets = 1024", "sockets = 32", "limits.sockets: must be at least 64"),
         ("hoplane.toml", "memory_mb = 192", 'memory_mb = "much"', "limits.memory_mb: must be a whole number"),
@@ -43,9 +43,9 @@
         ("endpoints.json", "9001", "0", "socket_address"),
     ],
 )
-def test_check_names_the_faulty_key(app, capsys, file, old, new, word):
+def test_check_names_key_at_fault(app, capsys, file, old, new, expected):
     path = app / file
     assert old in path.read_text()
     path.write_text(path.read_text().replace(old, new))
     assert tool.main(["check", str(app / "hoplane.toml")]) == 2
-    assert word in capsys.readouterr().err
+    assert expected in capsys.readouterr().err
