--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -349,7 +349,7 @@
 def check_positive_settings(raw_settings: dict, where: str) -> None:
     """Check that the times of each class and the number of attempts are positive numbers in the file itself.
 
-    Once flattened to the simulator's wire format, a string or a 0 is indistinguishable from a valid value."""
+    Once flattened to the simulator's wire format, a string or a 0 would pass as a valid value."""
     lanes = raw_settings.get("lanes")
     if not isinstance(lanes, list) or not lanes:
         raise ConfigError(f"{where}lanes: " + ("is missing" if lanes is None else "must be a list"))
