--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -12,7 +12,7 @@
 
 from hoplane import log
 from hoplane.config import Config, ConfigError
-from hoplane.core.events import Endpoint, Listed
+from hoplane.core.events import Endpoint, EndpointsUpdated
 from hoplane.decision.interface import State
 
 POLL_INTERVAL = timedelta(milliseconds=200)  # a drain must take effect within 1 s
@@ -81,9 +81,9 @@
     return clusters
 
 
-def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, Listed]:
+def read_endpoints(text: bytes, clusters: dict[str, tuple[str, dict]]) -> dict[str, EndpointsUpdated]:
     """Return the endpoints by cluster; load assignments without a cluster are skipped."""
-    lists = {name: Listed((), True) for name, _ in clusters.values()}
+    lists = {name: EndpointsUpdated((), True) for name, _ in clusters.values()}
     for index, each in enumerate(read_resources(text, "ClusterLoadAssignment")):
         service = get_field(each, "cluster_name")
         if service not in clusters:
@@ -97,7 +97,7 @@
         names = [endpoint.name for endpoint in endpoints]
         if len(set(names)) < len(names):
             raise XdsError(f"resources.{index}: two endpoints have the same name")
-        lists[name] = Listed(tuple(endpoints), True)
+        lists[name] = EndpointsUpdated(tuple(endpoints), True)
     return lists
 
 
@@ -138,10 +138,12 @@
 class FileWatch:
     """Polls the two files for changes. While one is malformed the last valid list stays in use."""
 
-    def __init__(self, clusters: Path, endpoints: Path, feed: Callable[[str, Listed], None]) -> None:
+    def __init__(
+        self, clusters: Path, endpoints: Path, feed: Callable[[str, EndpointsUpdated], None]
+    ) -> None:
         self.paths, self.feed = (clusters, endpoints), feed
         self.last_stamp: object = None
-        self.reported: dict[str, Listed] = {}
+        self.reported: dict[str, EndpointsUpdated] = {}
         self.successor: FileWatch | None = None  # the watch that replaced this one on a reload
 
     def __str__(self) -> str:
@@ -185,7 +187,7 @@
             log.write_event("xds_broken", file=path.name, error=str(error))
             return f"{path.name}: {error}"
         for name in {*lists, *self.reported}:
-            listed = lists.get(name, Listed((), True))
+            listed = lists.get(name, EndpointsUpdated((), True))
             if self.reported.get(name) != listed:
                 self.feed(name, listed)
         self.reported = lists
