--- a/hoplane/lease/elector.py
+++ b/hoplane/lease/elector.py
@@ -8,7 +8,7 @@
 from contextlib import asynccontextmanager, suppress
 from datetime import timedelta
 
-from hoplane import slog
+from hoplane import structured_log
 
 from .etcd import EtcdClient, EtcdUnavailable, LeaseNotFound
 from .state_machine import (
@@ -55,7 +55,7 @@
         self.no_action_running.set()
         self.leading = asyncio.Event()  # set while the lease is held
         self.stopped = asyncio.Event()
-        self.log = slog.logger(task=key, name=name)
+        self.log = structured_log.make_logger(task=key, name=name)
         self.counts = {"won": 0, "lost": 0, "renewed": 0, "unrenewed": 0}
 
     async def run(self) -> None:
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -7,7 +7,7 @@
 import time
 from datetime import timedelta
 
-from hoplane import slog
+from hoplane import structured_log
 from hoplane.config import Config
 from hoplane.core import events as ev
 from hoplane.core.border import to_ns
@@ -41,7 +41,7 @@
         )
         self.attached: set[int] = set()
         self.reported_ejections: dict[str, timedelta] = {}
-        self.log = slog.logger(name=process)
+        self.log = structured_log.make_logger(name=process)
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
