--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -17,8 +17,8 @@
 
 from hoplane import config as configuration
 from hoplane import log
-from hoplane.config import Config, ConfigError, Unreadable
-from hoplane.core.events import Reloaded
+from hoplane.config import Config, ConfigError, TransientReadError
+from hoplane.core.events import SettingsReloaded
 from hoplane.core.pacing import Pacing
 from hoplane.core.transient import EXHAUSTED
 from hoplane.decision.interface import State
@@ -61,9 +61,9 @@
         """Give this process's part in what the fleet does together, beside the request path."""
         parts = []
         if self.config.lease:
-            from hoplane.lease.watchman import Watchman
+            from hoplane.lease.health_check_task import HealthCheckTask
 
-            parts.append(Watchman(self.config, self.endpoints))
+            parts.append(HealthCheckTask(self.config, self.endpoints))
         if self.config.shared:
             from hoplane.shared.member import Member
 
@@ -113,16 +113,16 @@
                 raise ConfigError(f"known: {error}") from None
         return platform.Platform(config, runtime), watch
 
-    def beside(self) -> tuple[kserve.KServe, xds.Files]:
+    def beside(self) -> tuple[kserve.KServe, xds.FileWatch]:
         """Put the v2 front and its files together; at the start they must be whole."""
         # Here, as the platform's run should not load them: half of a start is loading.
         from hoplane import xds
         from hoplane.fronts import kserve
 
         front = kserve.KServe(self.config, self.pool)
-        watch = xds.Files(*self.config.files, front.feed)
-        if broken := watch.look():
-            raise ConfigError(broken)
+        watch = xds.FileWatch(*self.config.files, front.feed)
+        if error := watch.poll():
+            raise ConfigError(error)
         return front, watch
 
     def reload(self) -> None:
@@ -132,13 +132,13 @@
         try:
             new = self.again(self.config)
             watch = self.watch.moved(new)
-        except Unreadable as error:
+        except TransientReadError as error:
             self.reload_later(error)
             return
         except ConfigError as error:
-            log.say("reload_failed", error=str(error))
+            log.write_event("reload_failed", error=str(error))
             for runtime in self.front.runtimes:
-                runtime.feed(Reloaded(None))
+                runtime.feed(SettingsReloaded(None))
             return
         self.unread = 0
         self.watch, self.watching = watch, asyncio.create_task(watch.watch())
@@ -146,20 +146,20 @@
         self.pool.most = new.limits.upstreams
         self.pool.watch(new.discovery)
         self.front.retune(new.settings)
-        known = (*configuration.RELOADED, *configuration.IGNORED)
+        known = (*configuration.RELOADABLE_FIELDS, *configuration.IGNORED_FIELDS)
         wait = [
             name
             for name in (field.name for field in fields(new))
             if name not in known and getattr(self.config, name) != getattr(new, name)
         ]
-        taken = {name: getattr(new, name) for name in configuration.RELOADED}
-        self.config = replace(self.config, told=new.told, **taken)
-        log.say("reloaded", watch=str(watch), at_next_start=wait)
+        taken = {name: getattr(new, name) for name in configuration.RELOADABLE_FIELDS}
+        self.config = replace(self.config, raw=new.raw, **taken)
+        log.write_event("reloaded", watch=str(watch), at_next_start=wait)
 
-    def reload_later(self, error: Unreadable) -> None:
+    def reload_later(self, error: TransientReadError) -> None:
         """Read the configuration once more a moment later: the SIGHUP is still owed a reload."""
         self.unread += 1
-        log.seldom("reload_unread", error=str(error), tries=self.unread)
+        log.write_event_limited("reload_unread", error=str(error), tries=self.unread)
         if self.rereading is not None:
             self.rereading.cancel()
         delay = min(REREAD * self.unread, REREAD_MOST)
@@ -181,7 +181,7 @@
         signals.ignore_reload()
         self.watching.cancel()
         await self.pool.close()
-        log.say("stopped", **self.pool.tally.line())
+        log.write_event("stopped", **self.pool.tally.line())
 
     async def work(self, stop: asyncio.Event) -> None:
         """Take clients from here on until the end is asked for, and finish what was taken."""
@@ -191,7 +191,9 @@
             await self.operator.start()
         gc.collect()
         gc.freeze()  # what lives from the start to the end need not be looked at again and again
-        log.say("started", name=self.config.name, listen="{}:{}".format(*self.config.listen), pid=os.getpid())
+        log.write_event(
+            "started", name=self.config.name, listen="{}:{}".format(*self.config.listen), pid=os.getpid()
+        )
         beside = [asyncio.create_task(self.tidy()), asyncio.create_task(self.pool.tally.tell())]
         if self.handover:
             beside.append(asyncio.create_task(self.handover.run()))
@@ -199,8 +201,8 @@
             part.start()
         await stop.wait()
         for part in self.beside_path:
-            await part.leave()
-        log.say("stopping", open=self.front.server.open)
+            await part.begin_shutdown()
+        log.write_event("stopping", open=self.front.server.open)
         await self.front.server.stop()
         if self.operator:
             self.operator.stop()
@@ -215,7 +217,9 @@
 async def serve(config: Config, again: Callable[[Config], Config]) -> None:
     """Serve to the end."""
     asyncio.get_running_loop().set_exception_handler(
-        lambda loop, told: log.say("loop_fault", text=told["message"], error=repr(told.get("exception")))
+        lambda loop, told: log.write_event(
+            "loop_fault", text=told["message"], error=repr(told.get("exception"))
+        )
     )
     await Conductor(config, again).serve()
 
@@ -226,7 +230,7 @@
         signals.noted.clear()  # the file that we read now is newer
         try:
             return configuration.load(os.environ, file)
-        except Unreadable:
+        except TransientReadError:
             time.sleep(REREAD.total_seconds())
     return configuration.load(os.environ, file)
 
@@ -245,7 +249,7 @@
 
 def main(arguments: list[str]) -> int:
     """Read the configuration and serve."""
-    logging.basicConfig(level=logging.WARNING, handlers=[log.Lines()])
+    logging.basicConfig(level=logging.WARNING, handlers=[log.LibraryHandler()])
     parser = argparse.ArgumentParser(prog="hoplane", description="One conductor.")
     parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
     file = parser.parse_args(arguments).file
@@ -254,6 +258,6 @@
         with asyncio.Runner(loop_factory=patient_loop) as runner:
             runner.run(serve(config, lambda before: configuration.load(os.environ, file, before)))
     except ConfigError as error:
-        log.say("bad_configuration", error=str(error))
+        log.write_event("bad_configuration", error=str(error))
         return 2
     return 0
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -14,8 +14,16 @@
 from aiohttp import web
 
 from hoplane import log
-from hoplane.config import Config, ConfigError, text
-from hoplane.core.events import Asked, Closing, Endpoint, Forward, Listed, Reloaded, Turned
+from hoplane.config import Config, ConfigError, get_text
+from hoplane.core.events import (
+    Endpoint,
+    EndpointsUpdated,
+    Forward,
+    RequestInterrupted,
+    RequestReceived,
+    RequestRejectedAtFront,
+    SettingsReloaded,
+)
 from hoplane.decision.interface import Settings, State, Status
 from hoplane.net.aio import waited
 from hoplane.net.runtime import Runtime
@@ -46,7 +54,7 @@
     return STATS if settings.waiting_tokens_field else LIVE
 
 
-def read_list(answer: dict) -> Listed:
+def read_list(answer: dict) -> EndpointsUpdated:
     """Translate discovery's list. An entry that cannot be read is told in the log and changes nothing.
 
     Guards against one bad entry that would hide all others, a drain among them."""
@@ -60,20 +68,22 @@
         except (AttributeError, ConfigError, KeyError, TypeError, ValueError, OverflowError) as error:
             name = each.get("name") if isinstance(each, dict) else None
             unread.append(str(name))
-            log.seldom("list_entry_bad", entry=at, endpoint=name, error=repr(error))
-    return Listed(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
+            log.write_event_limited("list_entry_bad", entry=at, endpoint=name, error=repr(error))
+    return EndpointsUpdated(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
 
 
 def read_entry(each: dict) -> Endpoint:
     """Translate an entry of the list; a status that the protocol does not name gets nothing new."""
-    status = text(each, "status")
+    status = get_text(each, "status")
     if status not in STATES:
-        log.seldom("list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains")
+        log.write_event_limited(
+            "list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains"
+        )
     return Endpoint(
-        text(each, "name"),
-        text(each, "address"),
-        text(each, "zone"),
-        text(each, "type"),
+        get_text(each, "name"),
+        get_text(each, "address"),
+        get_text(each, "zone"),
+        get_text(each, "type"),
         int(each["group"]),
         STATES.get(status, State.DRAINING),
         float(each.get("weight", 1.0)),
@@ -94,7 +104,7 @@
 
 def read_asked(
     headers: Mapping[str, str], classes: Mapping[str, object], tenants: Container[str] = ()
-) -> Asked:
+) -> RequestReceived:
     """Translate a request's headers; a ValueError names what is wrong.
 
     A tenant that the settings do not name counts as none: it is served, within nobody's share."""
@@ -118,7 +128,7 @@
     if max(len(session), len(prefix)) > KEY_MOST:  # guards the module's tables, which keep them for minutes
         raise ValueError(f"{SESSION} and prefix: are at most {KEY_MOST} characters")
     repeat, tenant = headers.get(REPEAT), headers.get(ACCOUNT)
-    return Asked(
+    return RequestReceived(
         id,
         cls,
         lengths["prompt_len"],
@@ -155,7 +165,7 @@
 class Exchange:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
+    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
         self.asked, self.body = asked, body
         self.method, self.path = request.method, target(request)
         self.headers = {"Content-Type": "application/json"}
@@ -229,17 +239,17 @@
         """Break off a part of what is open, the newest first: it has the longest way to go."""
         ids = list(self.runtime.exchanges)
         for id in ids[len(ids) - ceil(part * len(ids)) :]:
-            self.runtime.feed(Closing(id))
+            self.runtime.feed(RequestInterrupted(id))
 
-    def turned(self, asked: Asked, response: web.Response) -> web.Response:
+    def turned(self, asked: RequestReceived, response: web.Response) -> web.Response:
         """Answer a request that the reducer never took, and let the core count it."""
-        self.runtime.feed(Turned(asked.cls, response.status in (429, 503)))
+        self.runtime.feed(RequestRejectedAtFront(asked.class_name, response.status in (429, 503)))
         return response
 
     def retune(self, settings: Settings) -> None:
         """Take requests of the new classes from now on; those taken keep their rules."""
         self.know(settings)
-        self.runtime.feed(Reloaded(settings))
+        self.runtime.feed(SettingsReloaded(settings))
 
     def know(self, settings: Settings) -> None:
         """Take what the headers of requests may name."""
@@ -253,7 +263,7 @@
         response.force_close()
         return response
 
-    async def chat(self, request: web.BaseRequest, asked: Asked) -> web.StreamResponse:
+    async def chat(self, request: web.BaseRequest, asked: RequestReceived) -> web.StreamResponse:
         """Take a request in and wait for its final answer."""
         body = await self.server.read(request)
         if isinstance(body, web.Response):
@@ -264,7 +274,7 @@
         except orjson.JSONDecodeError:
             return self.turned(asked, problem(400, "the body is not JSON", close=True))
         if denial := self.server.may_start():
-            log.seldom("request_denied", request=asked.id, reason=denial.value)
+            log.write_event_limited("request_denied", request=asked.id, reason=denial.value)
             return self.turned(asked, self.busy())
         runtime = self.runtime
         if asked.id in runtime.exchanges:
@@ -272,7 +282,7 @@
         if len(runtime.exchanges) >= self.config.max_open:
             return self.turned(asked, self.busy())
         # The client's time runs since its last byte came, not since we came to read it.
-        asked = replace(asked, patience=max(timedelta(), asked.patience - waited(request.transport)))
+        asked = replace(asked, time_left=max(timedelta(), asked.time_left - waited(request.transport)))
         exchange = Exchange(request, asked, body)
         if self.server.stopping or self.server.leaving is not None:
             exchange.response.force_close()
