--- a/hoplane/decision/cached_tokens.py
+++ b/hoplane/decision/cached_tokens.py
@@ -15,7 +15,7 @@
 
     A router knows only the turns and prefixes that it has sent itself. Readers also cache what other routers
     sent, or what this one sent before its restart, so that counting all unknown tokens as unread gives two to
-    three times too many. The correction is kept per kind of evidence, as a prefix that nobody has read yet is
+    three times too many. There is a correction per kind of evidence, as a prefix that nobody has read yet is
     read in full.
 
     If `pessimistic`, all tokens that are not known to be cached count as unread. That is right where a
--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -685,7 +685,7 @@
     def no_server_in_time(self, job: Job) -> bool:
         """Return whether some remaining stage has no server available before the request would be late.
 
-        This ends requests early if all servers of a stage are gone, dead or full at the same time.
+        This ends requests early if all servers of a stage are unlisted, dead or full at the same time.
         """
         latest = max(self.now, job.arrived_at + round(LATE_SHARE * job.aim))
         stages = [WRITERS, READERS if not (job.state_holder or self.settings.writers_read) else Role]
@@ -695,7 +695,7 @@
         return available_at > latest
 
     def fallback_writers(self, job: Job) -> list[Server]:
-        """Return the writers that may read the prompt themselves if readers are congested or gone.
+        """Return the writers that may read the prompt themselves if readers are congested or unavailable.
 
         Only short prompts qualify (at mixed servers up to the mean), at writers where no request of ours
         waits and while reservations succeed. Longer prompts qualify while nearly all reservations succeed, as
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared builders: a small fleet, a router over it, and short names for events."""
+"""Shared helpers: a small fleet, a router over it, and short calls for its events."""
 
 from __future__ import annotations
 
@@ -9,19 +9,21 @@
 from hoplane.decision import interface as api
 from hoplane.decision.router import Router
 
-KNOWN_RED, KNOWN_MOST = Path(__file__).parent.parent / "KNOWN-RED.txt", 3
+KNOWN_RED, MAX_KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt", 3
 
 
 def pytest_collection_modifyitems(config, items):
-    """Pass over the tests of KNOWN-RED.txt, which run all the same; the summary tells how each ended."""
+    """Mark the tests of KNOWN-RED.txt as xfail, so that they run and the summary shows how each ended."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     known = dict(line.split(" | ", 1) for line in lines if line.strip())
-    if len(known) > KNOWN_MOST:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: at most {KNOWN_MOST} lines")
+    if len(known) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"{KNOWN_RED.name}: at most {MAX_KNOWN_RED} lines")
     found = {item.nodeid: item for item in items}
-    whole = not config.option.keyword and all(Path(str(each).split("::")[0]).is_dir() for each in config.args)
-    if whole and (lost := set(known) - set(found)):
-        raise pytest.UsageError(f"{KNOWN_RED.name}: no such test: {min(lost)}")
+    runs_all_tests = not config.option.keyword and all(
+        Path(str(each).split("::")[0]).is_dir() for each in config.args
+    )
+    if runs_all_tests and (missing := set(known) - set(found)):
+        raise pytest.UsageError(f"{KNOWN_RED.name}: no such test: {min(missing)}")
     for name in known.keys() & found.keys():
         found[name].add_marker(pytest.mark.xfail(reason=f"known red: {known[name]}", strict=False))
 
@@ -30,8 +32,8 @@
 READER_A, READER_B, WRITER_A, WRITER_B, MIXED = 11, 12, 21, 22, 31
 
 
-def entry(server, kind, cell=0, state=api.State.LIVE, born=0, zone="z"):
-    return api.ServerEntry(server, kind, zone, cell, state, 1.0, born)
+def entry(server, kind, cell=0, state=api.State.LIVE, started_at=0, zone="z"):
+    return api.ServerEntry(server, kind, zone, cell, state, 1.0, started_at)
 
 
 FLEET = (
@@ -43,7 +45,7 @@
 
 
 def settings(effect=api.Effect.SAFE, **changes):
-    told = {
+    values = {
         "kinds": (
             api.KindSettings("reader", api.Role.READ, 200_000),
             api.KindSettings("writer", api.Role.WRITE, 150_000),
@@ -62,80 +64,84 @@
         "fall_multiple": 2.5,
         "fall": S,
     }
-    return api.Settings(**{**told, **changes})
+    return api.Settings(**{**values, **changes})
 
 
-class Desk:
-    """A router with its clock, and the actions by kind."""
+class Harness:
+    """A router with a clock, which records the actions of the last event and the pending timers."""
 
     def __init__(self, fleet=FLEET, seed=1, **changes):
         self.router = Router(settings(**changes), seed)
         self.now = 1000 * S
         self.count = 0
         self.timers = []
-        self.do(api.ServerListUpdate(fleet, whole=True))
+        self.send_event(api.ServerListUpdate(fleet, whole=True))
 
-    def do(self, event, after=0):
+    def send_event(self, event, after=0):
         self.now += after
         self.actions = self.router.handle(self.now, event)
-        self.timers += [(a.at, a.timer) for a in self.actions if isinstance(a, api.SetTimer)]
+        self.timers += [
+            (action.at, action.timer) for action in self.actions if isinstance(action, api.SetTimer)
+        ]
         return self.actions
 
-    def ask(self, request="r", after=0, **fields):
-        told = {
+    def submit(self, request="r", after=0, **fields):
+        values = {
             "prompt_tokens": 2000,
             "max_output_tokens": 200,
             "time_left": 4 * S,
             "session": request,
             "prefix": None,
         }
-        return self.do(api.Request(request, "c", **{**told, **fields}), after)
+        return self.send_event(api.Request(request, "c", **{**values, **fields}), after)
 
     def outcome(self, status, server, request="r", attempt=0, after=10 * MS, **fields):
-        return self.do(api.Outcome(request, attempt, server, status, after, **fields), after)
+        return self.send_event(api.Outcome(request, attempt, server, status, after, **fields), after)
 
-    def first(self, server, request="r", attempt=1, after=10 * MS):
-        return self.do(api.FirstToken(request, attempt, server, after), after)
+    def first_token(self, server, request="r", attempt=1, after=10 * MS):
+        return self.send_event(api.FirstToken(request, attempt, server, after), after)
 
     def serve(self, request="r", **fields):
-        """Play a request through reader and writer to its end and give the writer."""
-        self.ask(request, **fields)
+        """Run a request through reader and writer to its end; return the writer."""
+        self.submit(request, **fields)
         reader = self.sent()[0]
         self.outcome(api.Status.MISS, reader, request)
         writer = self.sent()[0]
-        self.first(writer, request)
+        self.first_token(writer, request)
         self.outcome(api.Status.OK, writer, request, 1, after=S, closed=True)
         return writer
 
-    def leave(self, request):
-        """The client leaves, and what was out for it is cancelled."""
-        in_flight = [(a.index, a.server.entry.server) for a in self.router.jobs[request].in_flight]
-        self.do(api.ClientDisconnected(request))
+    def disconnect(self, request):
+        """Disconnect the client; attempts in flight are cancelled."""
+        in_flight = [
+            (action.index, action.server.entry.server) for action in self.router.jobs[request].in_flight
+        ]
+        self.send_event(api.ClientDisconnected(request))
         for attempt, server in in_flight:
             self.outcome(api.Status.CANCELLED, server, request, attempt, after=0)
 
     def run_timers(self, until):
-        """Let time pass and play due timers in order; give all actions."""
-        seen = []
+        """Advance the clock and fire due timers in order; return all actions."""
+        all_actions = []
         while due := [t for t in self.timers if t[0] <= until]:
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            seen += self.do(api.TimerFired(timer[1]))
+            all_actions += self.send_event(api.TimerFired(timer[1]))
         self.now = max(self.now, until)
-        self.actions = seen
-        return seen
+        self.actions = all_actions
+        return all_actions
 
-    def of(self, kind):
-        return [a for a in self.actions if isinstance(a, kind)]
+    def actions_of(self, kind):
+        return [action for action in self.actions if isinstance(action, kind)]
 
     def sent(self):
-        return [a.server for a in self.of(api.Send)]
+        return [action.server for action in self.actions_of(api.Send)]
 
-    def ends(self):
-        return [type(a) for a in self.actions if isinstance(a, api.Refuse | api.Fail)]
+    def final_answers(self):
+        return [type(action) for action in self.actions if isinstance(action, api.Refuse | api.Fail)]
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def harness():
+    return Harness()
--- a/tests/test_equal.py
+++ b/tests/test_front_parity.py
@@ -1,4 +1,4 @@
-"""The same faults on both fronts: mixed endpoints, one fleet, equal outcomes."""
+"""The same faults through both fronts, with one mixed endpoint, give equal outcomes."""
 
 import asyncio
 
@@ -21,15 +21,15 @@
     await asyncio.Event().wait()
 
 
-async def turn_away(call, writer):
+async def reject_unprocessed(call, writer):
     writer.write(message("HTTP/1.1 503 Service Unavailable", X_Unprocessed="1"))
 
 
-async def busy(call, writer):
+async def unavailable(call, writer):
     writer.write(message("HTTP/1.1 503 Service Unavailable"))
 
 
-async def well(call, writer):
+async def succeed(call, writer):
     if call[0].startswith("POST /v1"):
         writer.write(STREAM + chunk(EVENT + DONE) + b"0\r\n\r\n")
     else:
@@ -37,21 +37,21 @@
 
 
 @pytest.mark.parametrize(
-    ("play", "lookup", "booking"),
+    ("behaviour", "lookup", "booking"),
     [
-        (well, 200, 200),
+        (succeed, 200, 200),
         (error, 503, 502),
         (close, 503, 502),
         (hang, 503, 502),
-        (turn_away, 503, 503),
-        (busy, 503, 502),
+        (reject_unprocessed, 503, 503),
+        (unavailable, 503, 502),
     ],
-    ids=["well", "error", "close", "hang", "turn_away", "busy"],
+    ids=["succeed", "error", "close", "hang", "reject_unprocessed", "unavailable"],
 )
 @pytest.mark.parametrize("front", ["platform", "kserve"])
-def test_outcomes_are_equal(tmp_path, front, play, lookup, booking):
+def test_fronts_give_equal_outcomes(tmp_path, front, behaviour, lookup, booking):
     async def test():
-        async with Server(play) as server:
+        async with Server(behaviour) as server:
             if front == "platform":
                 start = platform(tmp_path, [entry("m", server.address, "mixed")], settings=MIXED)
             else:
@@ -62,9 +62,9 @@
                     ask = chat("x", cls, 400) if front == "platform" else infer("x", cls, time_left_ms=400)
                     first, headers, _ = await program.ask(ask)
                     assert int(first.split()[1]) == code
-                    assert ("retry-after" in headers) == (code == 503), "a refusal says when to return"
-                    if cls == "booking" and play is not turn_away:
-                        assert len(server.calls) - before == 1, "what may have run is sent once"
+                    assert ("retry-after" in headers) == (code == 503), "a refusal has Retry-After"
+                    if cls == "booking" and behaviour is not reject_unprocessed:
+                        assert len(server.calls) - before == 1, "a request that may have run is sent once"
                 assert await program.stop() == 0
 
     asyncio.run(within(test(), 60))
--- a/tests/test_second_site.py
+++ b/tests/test_second_deployment.py
@@ -1,4 +1,4 @@
-"""What the second deployment asks of the platform's front: tenants, refusals without advice, moves."""
+"""Features of the second deployment: tenants, refusals without Retry-After, streams resumed elsewhere."""
 
 import asyncio
 import copy
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(("account", "tenant"), [("acme", "acme"), ("unknown", None), (None, None)])
-def test_the_tenant_is_read_where_the_settings_name_it(account, tenant):
+def test_tenant_is_read_if_the_settings_list_it(account, tenant):
     headers = HEADERS | ({"X-Account": account} if account else {})
     assert read_asked(headers, {"c"}, {"acme"}).tenant == tenant
 
@@ -52,12 +52,12 @@
 
 
 def ask(state, cls="c"):
-    asked = ev.RequestReceived("r1", cls, 10, 5, ev.timedelta(seconds=4))
-    return reduce(state, ev.timedelta(seconds=1), asked)
+    request = ev.RequestReceived("r1", cls, 10, 5, ev.timedelta(seconds=4))
+    return reduce(state, ev.timedelta(seconds=1), request)
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-def test_a_refusal_tells_when_to_come_back_only_where_that_is_allowed(allowed):
+def test_refusal_has_retry_after_only_if_allowed(allowed):
     state = conductor(retry_after=allowed)
     reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated((), True))
     effects = [e for e in ask(state) if isinstance(e, ev.Refuse)]
@@ -79,27 +79,30 @@
     ],
 )
 @pytest.mark.parametrize("kind", ["both", "read"])
-def test_a_request_that_has_not_begun_is_answered_before_the_process_is_killed(cls, answer, kind):
-    """Where repeats do harm, once what is out has ended: a read has no effect, however it ends."""
+def test_unstarted_request_is_answered_before_the_process_is_killed(cls, answer, kind):
+    """A request that may not be repeated is answered once its attempt has ended.
+
+    A read has no effect, however it ends, so its request is refused.
+    """
     state = conductor()
     if kind == "read":
-        listed = [ev.Endpoint(name, "h:1", "z", name, 0, api.State.LIVE) for name in ("read", "write")]
-        reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated(tuple(listed), True))
-    sends = [e for e in ask(state, cls) if isinstance(e, ev.Forward)]
-    assert [e.is_read for e in sends] == [kind == "read"]
-    harmless, answer = cls in ("c", "keyed-all"), ev.Refuse if kind == "read" else answer
+        endpoints = [ev.Endpoint(name, "h:1", "z", name, 0, api.State.LIVE) for name in ("read", "write")]
+        reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated(tuple(endpoints), True))
+    forwarded = [e for e in ask(state, cls) if isinstance(e, ev.Forward)]
+    assert [e.is_read for e in forwarded] == [kind == "read"]
+    repeatable, answer = cls in ("c", "keyed-all"), ev.Refuse if kind == "read" else answer
     effects = reduce(state, ev.timedelta(seconds=2), ev.RequestInterrupted("r1"))
-    wanted = [ev.AbandonAttempt, ev.Refuse] if harmless else [ev.AbandonAttempt]
-    assert [type(e) for e in effects if not isinstance(e, ev.SetTimer)] == wanted
+    expected = [ev.AbandonAttempt, ev.Refuse] if repeatable else [ev.AbandonAttempt]
+    assert [type(e) for e in effects if not isinstance(e, ev.SetTimer)] == expected
     effects = reduce(
         state, ev.timedelta(seconds=2), ev.AttemptEnded("r1", 0, api.Status.CANCELLED, written=True)
     )
     answers = [type(e) for e in effects if isinstance(e, ev.Refuse | ev.Fail | ev.Forward)]
-    assert answers == ([] if harmless else [answer])
+    assert answers == ([] if repeatable else [answer])
     assert not state.requests
 
 
-def test_a_stream_that_has_begun_is_broken_off_without_another_answer():
+def test_started_stream_is_broken_off_without_another_answer():
     state = conductor()
     ask(state)
     reduce(state, ev.timedelta(seconds=2), ev.ResponseStarted("r1", 0))
@@ -121,9 +124,7 @@
 
 
 @pytest.mark.parametrize(("resume", "least", "most"), [(True, 1.4, 3.6), (False, 4.0, 99)])
-def test_streams_are_moved_before_sigkill_where_clients_ask_elsewhere_for_the_rest(
-    tmp_path, resume, least, most
-):
+def test_streams_are_ended_before_sigkill_if_clients_resume_elsewhere(tmp_path, resume, least, most):
     settings = copy.deepcopy(SETTINGS)
     settings["family_info"]["resume"] = resume
 
@@ -145,12 +146,12 @@
                     if not part:
                         ended = time.monotonic() - begun
                         break
-                    assert b"\r\n0\r\n" not in part, "a stream that is broken off has no last chunk"
+                    assert b"\r\n0\r\n" not in part, "a broken-off stream has no final chunk"
                 if resume:
                     assert ended is not None and least < ended < most
                     assert await within(program.process.wait()) == 0
                 else:
-                    assert ended is None, "it is left to run, as its client would lose it"
+                    assert ended is None, "the stream keeps running, as its client cannot resume it"
                 outgoing.close()
 
     asyncio.run(test())
