--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -20,7 +20,7 @@
 from hoplane.config import Config, ConfigError, Unreadable
 from hoplane.core.events import SettingsReloaded
 from hoplane.core.pacing import Pacing
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 from hoplane.decision.interface import State
 from hoplane.fronts import platform
 from hoplane.fronts.operator import Operator
@@ -241,7 +241,7 @@
         try:
             return asyncio.new_event_loop()
         except OSError as error:
-            if error.errno not in EXHAUSTED:
+            if error.errno not in RESOURCE_EXHAUSTED:
                 raise
             time.sleep(REREAD.total_seconds())
     return asyncio.new_event_loop()
--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -13,7 +13,7 @@
 import orjson
 
 from hoplane.adapter import WireError, read_settings
-from hoplane.core.transient import UNREADABLE
+from hoplane.core.transient_errors import TRANSIENT_READ_FAILURES
 from hoplane.decision.interface import Settings
 
 if TYPE_CHECKING:  # a file of ours loads them, the platform's run does not: half of a start is loading
@@ -64,7 +64,7 @@
 
 def unread(name: str, error: Exception) -> ConfigError:
     """Give the error for a file that could not be read or understood."""
-    transient = isinstance(error, OSError) and error.errno in UNREADABLE
+    transient = isinstance(error, OSError) and error.errno in TRANSIENT_READ_FAILURES
     return (Unreadable if transient else ConfigError)(f"{name}: {error}")
 
 
--- a/hoplane/core/handover.py
+++ b/hoplane/core/handover.py
@@ -1,44 +1,46 @@
-"""Two processes on one inherited socket: which of them gives way, and when the new one may say yes.
+"""Decides the handover between processes that share an inherited listening socket.
 
-No I/O: `net/handover.py` reads and writes what each process tells of itself."""
+It says which process drains and when the new one reports ready. No I/O: `net/handover.py` exchanges the
+processes' heartbeats."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from datetime import timedelta
 
-STALE = timedelta(seconds=1)  # a process that has not told of itself for so long is gone
-PATIENCE = timedelta(seconds=4)  # the longest a new process waits for the old one to empty before it says yes
+HEARTBEAT_TIMEOUT = timedelta(seconds=1)  # a process without a heartbeat for this long counts as ended
+MAX_READINESS_DELAY = timedelta(seconds=4)  # longest time that a new process waits for the old one to drain
 
 
 @dataclass(slots=True, frozen=True)
 class Peer:
-    """What a process told of itself, and when: `born` is its start, `open` its requests not yet answered."""
+    """Heartbeat of a process. `open_requests` counts its requests that are not yet answered."""
 
     pid: int
-    born: timedelta
-    open: int
-    told: timedelta
+    started_at: timedelta
+    open_requests: int
+    reported_at: timedelta
 
 
 @dataclass(slots=True, frozen=True)
-class Verdict:
-    """What a process is to do beside the others.
+class HandoverDecision:
+    """What a process has to do in a handover.
 
-    `superseded`: a newer process takes the clients, so this one empties itself. `waiting`: an older one still
-    has requests open, so this one does not say yes yet."""
+    `superseded`: a newer process takes new clients, so this one drains.
+    `waiting`: an older process still has open requests, so this one doesn't report ready yet."""
 
     superseded: bool
     waiting: bool
 
 
-def judge(pid: int, born: timedelta, peers: list[Peer], now: timedelta) -> Verdict:
-    """Judge by what the other processes told lately; ties of the start go by the process id.
+def decide_handover(pid: int, started_at: timedelta, peers: list[Peer], now: timedelta) -> HandoverDecision:
+    """Decide by the recent heartbeats of the other processes; equal start times are ordered by process id.
 
-    Guards against streams cut by SIGKILL: the old process is asked to stop once the new one says yes, and is
-    killed soon after, so the new one says yes once the old has nothing open, or after `PATIENCE`."""
-    live = [peer for peer in peers if peer.pid != pid and now - peer.told < STALE]
-    me = (born, pid)
-    superseded = any((peer.born, peer.pid) > me for peer in live)
-    older_open = any((peer.born, peer.pid) < me and peer.open > 0 for peer in live)
-    return Verdict(superseded, older_open and now - born < PATIENCE)
+    The old process is stopped once the new one reports ready, and killed soon after. So that SIGKILL doesn't
+    cut its streams, the new one reports ready only once the old one has no open requests, or after
+    `MAX_READINESS_DELAY`."""
+    live = [peer for peer in peers if peer.pid != pid and now - peer.reported_at < HEARTBEAT_TIMEOUT]
+    own_order = (started_at, pid)
+    superseded = any((peer.started_at, peer.pid) > own_order for peer in live)
+    older_open = any((peer.started_at, peer.pid) < own_order and peer.open_requests > 0 for peer in live)
+    return HandoverDecision(superseded, older_open and now - started_at < MAX_READINESS_DELAY)
--- /dev/null
+++ b/hoplane/core/idempotency.py
@@ -0,0 +1,44 @@
+"""Remembers which idempotency keys may have run, bounded in number and time; the oldest are dropped first."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+
+@dataclass(slots=True)
+class IdempotencyStore:
+    """Idempotency keys of requests that must not run twice.
+
+    A client may repeat a request whose first copy is still running or may have run. A key is recorded when
+    its request arrives and kept for `retention` after its end, unless the request certainly never ran."""
+
+    capacity: int
+    retention: timedelta
+    running: set[str] = field(default_factory=set)
+    finished: dict[str, timedelta] = field(default_factory=dict)  # end times, oldest first
+
+    def is_duplicate(self, key: str, now: timedelta) -> bool:
+        """Return whether a key is running, or may have run within the retention time."""
+        self.expire(now)
+        return key in self.running or key in self.finished
+
+    @property
+    def full(self) -> bool:
+        """Return whether there is no room for another key; evicting one could let a request run twice."""
+        return len(self.running) + len(self.finished) >= self.capacity
+
+    def start(self, key: str) -> None:
+        """Record a key as running."""
+        self.running.add(key)
+
+    def end(self, key: str, now: timedelta, may_have_run: bool) -> None:
+        """Record a key as ended; one that never ran may be used again."""
+        self.running.discard(key)
+        if may_have_run:
+            self.finished[key] = now
+
+    def expire(self, now: timedelta) -> None:
+        """Drop keys older than the retention time."""
+        while self.finished and now - next(iter(self.finished.values())) > self.retention:
+            del self.finished[next(iter(self.finished))]
--- a/hoplane/core/invariants.py
+++ b/hoplane/core/invariants.py
@@ -1,8 +1,8 @@
-"""Checks at run time what must always hold of a request's life, and counts what does not. No I/O.
+"""Runtime checks of the invariants of a request's life cycle; counts violations. No I/O.
 
-The checks stand beside the decisions (`core/permits.py`) and do not rest on them: they look at what was done.
-A violation is a fault of this program; `DUMP` gives their number and the log a line `violation` for each
-kind, at most once a second."""
+The checks are independent of the decisions (`core/permits.py`): they observe what was actually done. A
+violation is a bug in this program. `DUMP` reports their number, and the log has a line `violation` for each
+kind at most once a second."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from datetime import timedelta
 from enum import Enum
 
-LATE = timedelta(milliseconds=500)  # after a request's time, up to which an answer only earns nothing
+MAX_LATENESS = timedelta(milliseconds=500)  # an answer up to this long after its deadline is merely worthless
 
 
 class Violation(Enum):
-    """What should never happen."""
+    """An invariant that was violated."""
 
     RUN_TWICE = "run_twice"
     ANSWERED_TWICE = "answered_twice"
@@ -27,42 +27,42 @@
 
 
 class Invariants:
-    """Counts violations by kind, and follows which requests have had their final answer."""
+    """Counts violations by kind, and tracks which requests still need their final answer."""
 
     def __init__(self) -> None:
         self.counts: Counter[Violation] = Counter()
-        self.due: dict[str, timedelta] = {}  # by request without a final answer: when its time is over
+        self.deadlines: dict[str, timedelta] = {}  # of requests without a final answer, by id
 
     @property
     def total(self) -> int:
-        """Give the number of violations since the start."""
+        """Return the number of violations since the start."""
         return sum(self.counts.values())
 
-    def note(self, violation: Violation) -> Violation:
+    def record(self, violation: Violation) -> Violation:
         """Count a violation."""
         self.counts[violation] += 1
         return violation
 
-    def taken(self, id: str, deadline: timedelta) -> None:
-        """Note that a request was taken: one final answer is owed."""
-        self.due[id] = deadline
+    def request_received(self, id: str, deadline: timedelta) -> None:
+        """Register a request that must get exactly one final answer."""
+        self.deadlines[id] = deadline
 
-    def answered(self, id: str, now: timedelta) -> Violation | None:
-        """Check a final answer: it is the only one, and it is in time, or late by no more than `LATE`."""
-        deadline = self.due.pop(id, None)
+    def final_answer_given(self, id: str, now: timedelta) -> Violation | None:
+        """Check that a final answer is the only one, and at most `MAX_LATENESS` after the deadline."""
+        deadline = self.deadlines.pop(id, None)
         if deadline is None:
-            return self.note(Violation.ANSWERED_TWICE)
-        return self.note(Violation.ANSWERED_LATE) if now > deadline + LATE else None
+            return self.record(Violation.ANSWERED_TWICE)
+        return self.record(Violation.ANSWERED_LATE) if now > deadline + MAX_LATENESS else None
 
-    def began(self, id: str) -> None:
-        """Note that an answer has begun: from here on it may take its time."""
-        if id in self.due:
-            self.due[id] = timedelta.max - LATE
+    def response_started(self, id: str) -> None:
+        """Lift a request's deadline once its response has started."""
+        if id in self.deadlines:
+            self.deadlines[id] = timedelta.max - MAX_LATENESS
 
-    def left(self, id: str) -> None:
-        """Note that a client has gone: nothing is owed to it."""
-        self.due.pop(id, None)
+    def client_disconnected(self, id: str) -> None:
+        """Drop a request whose client has disconnected: it needs no answer."""
+        self.deadlines.pop(id, None)
 
-    def closed(self, id: str) -> Violation | None:
-        """Check the end of a request's handler: its answer was given, or its client has gone."""
-        return self.note(Violation.ENDED_UNANSWERED) if self.due.pop(id, None) is not None else None
+    def handler_ended(self, id: str) -> Violation | None:
+        """Check that a request's handler ended with an answer, or because its client disconnected."""
+        return self.record(Violation.ENDED_UNANSWERED) if self.deadlines.pop(id, None) is not None else None
--- a/hoplane/core/pacing.py
+++ b/hoplane/core/pacing.py
@@ -1,81 +1,99 @@
-"""How often one conductor of many asks discovery, and how long it waits for the answer. No I/O.
+"""Pacing of one conductor's discovery calls: long-poll wait, timeout and backoff. No I/O.
 
-Where lists are pushed, an agent on the conductor's own machine answers at once and at no cost, and what it
-has counts as told: there the rules' grace for a drain bounds how long it may go unasked, however many
-conductors there are.
+Where endpoint lists are pushed, an agent on the conductor's own machine answers at once and at no cost, and
+what the agent knows counts as known to the conductor. The drain grace then bounds the time between calls,
+however many conductors there are.
 
-Where they are asked for, all conductors ask one discovery of fixed capacity, which serves calls in turn and
-turns them away when they have waited long. Each asks little, yet together, and in step after a restart of
-many, they hold it down: who gives up and asks anew loses his turn, and his old call is served in vain."""
+Where lists are polled, all conductors call one discovery service of fixed capacity. It serves calls in order
+of arrival and rejects those that waited too long. A single conductor calls rarely, but many together, and in
+step after a mass restart, can overload it: a conductor that gives up and calls again loses its place in the
+queue, and its old call is still served for nothing."""
 
 from __future__ import annotations
 
 import random
 from datetime import timedelta
 
-from hoplane.core.border import to_span
+from hoplane.core.time_conversion import to_timedelta
 from hoplane.decision.interface import Settings
 
-WAIT = timedelta(seconds=0.5)  # that a running watch may be held open: its agent answers at no cost
-SPARE = timedelta(milliseconds=300)  # for the answer's way
-TURN = timedelta(milliseconds=60)  # a call of each conductor may be ahead of ours, and takes this long
-QUEUED = timedelta(seconds=2)  # a call that has waited this long for its turn is turned away
-PATIENCE_MOST = timedelta(seconds=3)  # so a call that is silent for longer has no turn
-FEW = 3  # that may ask again at once: a watch goes on if its next call comes within 200 ms
-CLOCK = timedelta(seconds=6)  # what there is to tell counts as told after this, whatever became of our calls
-PAUSE_MOST = CLOCK - QUEUED  # so that a call that follows, and waits for its turn, is answered by then
-NO_WAIT = timedelta(milliseconds=1)  # of a call that only asks what there is
-GRACE = timedelta(seconds=1)  # where the settings name none
-ASKED_WITHIN, PAUSED = 0.3, 0.1  # parts of the grace: the wait for what is there, and a pause
+LONG_POLL_WAIT = timedelta(
+    seconds=0.5
+)  # time that the agent may hold a call open; it costs the agent nothing
+NETWORK_MARGIN = timedelta(milliseconds=300)  # for the answer's way
+SERVICE_TIME = timedelta(milliseconds=60)  # of a call; one of each conductor may be ahead of ours
+MAX_QUEUE_TIME = timedelta(seconds=2)  # a call that has queued for this long is rejected
+MAX_CALL_TIMEOUT = timedelta(seconds=3)  # a call unanswered for longer is not in the queue
+IMMEDIATE_RETRIERS = 3  # conductors that may retry at once: a watch survives a gap of 200 ms between calls
+MAX_STALENESS = timedelta(seconds=6)  # a change counts as known after this, whatever happened to our calls
+MAX_BACKOFF = MAX_STALENESS - MAX_QUEUE_TIME  # so that the next call, if queued, is answered by then
+NO_WAIT = timedelta(milliseconds=1)  # long-poll wait of a call that only fetches the current list
+DEFAULT_DRAIN_GRACE = timedelta(seconds=1)  # if the settings give none
+AGENT_TIMEOUT_SHARE, BACKOFF_SHARE = 0.3, 0.1  # of the drain grace
 
 
 class Pacing:
-    """Says how long one of many conductors waits for an answer, and pauses after a call that failed.
+    """Gives the timing of one of many conductors' calls, and the backoff after a failed call.
 
-    `told`: the settings, for the kind of discovery, the number of conductors and the grace of a drain."""
+    `settings` gives the kind of discovery, the number of conductors and the drain grace."""
 
-    def __init__(self, told: Settings, rng: random.Random) -> None:
-        self.rng, self.asked = rng, told.must_subscribe
-        self.routers, self.position = told.routers, told.position % told.routers
-        self.failures = 0  # in a row
-        grace = to_span(told.drain_grace) or GRACE
-        self.again = ASKED_WITHIN * grace  # an agent answers within this, or it is silent
-        self.first = grace if self.asked else self.again  # that a start waits for the first answer
-        if self.asked:
-            self.wait, self.patience = WAIT, min(WAIT + SPARE + TURN * told.routers, PATIENCE_MOST)
-            self.pause = TURN * max(1, told.routers - FEW)  # so that all that failed come back one by one
-            self.silence = CLOCK - QUEUED - self.patience
+    def __init__(self, settings: Settings, rng: random.Random) -> None:
+        self.rng, self.polled = rng, settings.must_subscribe
+        self.conductors, self.position = settings.routers, settings.position % settings.routers
+        self.consecutive_failures = 0
+        grace = to_timedelta(settings.drain_grace) or DEFAULT_DRAIN_GRACE
+        self.agent_timeout = AGENT_TIMEOUT_SHARE * grace  # an agent that takes longer is unresponsive
+        self.first_answer_timeout = grace if self.polled else self.agent_timeout  # at the start
+        if self.polled:
+            self.long_poll_wait, self.call_timeout = (
+                LONG_POLL_WAIT,
+                min(LONG_POLL_WAIT + NETWORK_MARGIN + SERVICE_TIME * settings.routers, MAX_CALL_TIMEOUT),
+            )
+            # Long enough for all conductors whose calls failed to retry one after the other.
+            self.base_backoff = SERVICE_TIME * max(1, settings.routers - IMMEDIATE_RETRIERS)
+            self.max_timeout_backoff = MAX_STALENESS - MAX_QUEUE_TIME - self.call_timeout
         else:
-            # What comes at discovery's return counts at once: a call that was cut off, a pause and the next
-            # call take under half of the grace; the rest is for a busy loop and a connection that is late.
-            self.wait, self.patience = min(WAIT, grace / 4), min(WAIT, grace / 4) + self.again
-            self.pause = self.silence = PAUSED * grace
+            # Changes that discovery has when it recovers count as known at once. A call that was cut off, the
+            # backoff and the next call take less than half the grace; the rest is for a blocked event loop
+            # and a slow connect.
+            self.long_poll_wait, self.call_timeout = (
+                min(LONG_POLL_WAIT, grace / 4),
+                min(LONG_POLL_WAIT, grace / 4) + self.agent_timeout,
+            )
+            self.base_backoff = self.max_timeout_backoff = BACKOFF_SHARE * grace
 
-    def call(self) -> tuple[timedelta, timedelta]:
-        """Give how long the next call may be held open, and how long its answer is awaited."""
-        if self.failures and not self.asked:
-            return NO_WAIT, self.again
-        return self.wait, self.patience
+    def next_call(self) -> tuple[timedelta, timedelta]:
+        """Return the long-poll wait of the next call, and the timeout for its answer."""
+        if self.consecutive_failures and not self.polled:
+            return NO_WAIT, self.agent_timeout
+        return self.long_poll_wait, self.call_timeout
 
-    def answered(self) -> None:
-        """Begin anew: the watch runs."""
-        self.failures = 0
+    def succeeded(self) -> None:
+        """Reset the backoff after a call that was answered."""
+        self.consecutive_failures = 0
 
-    def failed(self, silent: bool, unheard: timedelta = timedelta()) -> timedelta:
-        """Give the pause after a failure, `unheard` after the last good call; where asked, doubled in a row.
+    def failed(self, timed_out: bool, since_success: timedelta = timedelta()) -> timedelta:
+        """Return the backoff after a failed call, `since_success` after the last good call began.
 
-        Guards against conductors that were turned away together and come back together: the first pause goes
-        by their numbers, the next are drawn. What there is to tell counts as told within `CLOCK`, whether a
-        call was refused, turned away or given up, so while there is time left the next one begins in it. A
-        call that nobody answered was in no queue: the watch is broken, and all but its wait is left."""
-        most = self.silence * 2 / 3 if silent else PAUSE_MOST
-        span = min(self.pause * 2**self.failures if self.asked else self.pause, most)
-        if not self.asked or silent:
-            span *= self.rng.uniform(0.5, 1.5)
-        elif self.failures == 0:
-            span *= (self.position + self.rng.random()) / self.routers
+        Where discovery is polled, the backoff doubles with each consecutive failure. Conductors that were
+        rejected together must not retry together: the first backoff is staggered by position, later ones are
+        random. A change counts as known within `MAX_STALENESS` even if a call was refused, rejected or given
+        up, so the next call starts within that time as long as some of it is left. A call that timed out was
+        never queued: the watch is lost, and all of that time is left but the call's own timeout."""
+        limit = self.max_timeout_backoff * 2 / 3 if timed_out else MAX_BACKOFF
+        backoff = min(
+            self.base_backoff * 2**self.consecutive_failures if self.polled else self.base_backoff, limit
+        )
+        if not self.polled or timed_out:
+            backoff *= self.rng.uniform(0.5, 1.5)
+        elif self.consecutive_failures == 0:
+            backoff *= (self.position + self.rng.random()) / self.conductors
         else:
-            span *= self.rng.uniform(0.5, 1)
-        self.failures = min(self.failures + 1, 16)
-        left = PAUSE_MOST - unheard
-        return min(span, left * self.rng.uniform(0.5, 1)) if self.asked and left > timedelta() else span
+            backoff *= self.rng.uniform(0.5, 1)
+        self.consecutive_failures = min(self.consecutive_failures + 1, 16)
+        time_left = MAX_BACKOFF - since_success
+        return (
+            min(backoff, time_left * self.rng.uniform(0.5, 1))
+            if self.polled and time_left > timedelta()
+            else backoff
+        )
--- a/hoplane/core/permits.py
+++ b/hoplane/core/permits.py
@@ -1,11 +1,11 @@
-"""Decides whether something may be sent, repeated, started or closed now. The one place for it; no I/O.
+"""Decides whether something may be sent, repeated, accepted or closed now; the only place for it. No I/O.
 
-Each question is asked twice: when the work is decided on, and again as it takes effect (the bytes are handed
-to the system, the connection closes), since a wait, a signal or a list may lie between. An answer is None
-where the work may go on, and else the reason why not, which the caller logs and counts.
+Each check is made twice: when the work is decided on, and again when it takes effect (bytes are handed to the
+system, the connection closes), since a wait, a signal or a list update may come between. A check returns None
+if the work may proceed, else the reason for denial, which the caller logs and counts.
 
-Two facts of TCP stand behind the questions. Bytes handed to the system have not arrived, and closing a
-connection does not recall them: only a reset does (`net/pool.py`). An attempt that is given up is reset."""
+Two facts of TCP matter here. Bytes handed to the system have not arrived yet, and closing a connection
+doesn't recall them; only a reset does (`net/pool.py`). So an abandoned attempt is reset."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from datetime import timedelta
 from enum import Enum
 
-# Since SIGTERM. What comes 0.7 s after it must be answered before SIGKILL; a loop may be held for 0.15 s.
+# Since SIGTERM. What arrives 0.7 s after it must be answered before SIGKILL; the event loop may block 0.15 s.
 REFUSE_AFTER = timedelta(milliseconds=500)
 
 
 class Denial(Enum):
-    """Why something may not happen now. The values are log events that `docs/on-call.md` explains."""
+    """Why something may not happen now. The values are log events, explained in `docs/on-call.md`."""
 
     CLIENT_GONE = "client_gone"
-    ENDED = "request_ended"
+    REQUEST_ENDED = "request_ended"
     READ_ENDED = "read_ended"
     DEADLINE_PASSED = "attempt_too_late"
     REPEAT_WINDOW_PASSED = "repeat_too_late"
@@ -30,80 +30,82 @@
     NOT_LISTED = "send_stopped"
     OVER_BUDGET = "send_over_budget"
     STOPPING = "stopping"
-    REQUEST_WAITS = "request_waits"
-    TOO_YOUNG = "connection_new"
+    REQUEST_PENDING = "request_waits"
+    CONNECTION_NEW = "connection_new"
 
 
 class Phase(Enum):
-    """How far a process is in its life, as far as new requests are concerned."""
+    """Phase of the process with respect to new requests."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # an operator's LEAVE: connections end with their answers, requests are served
-    LINGERING = "lingering"  # SIGTERM came, and clients have not heard of it yet
-    ENDING = "ending"  # what comes from now on could be cut by SIGKILL, and would be lost
+    DRAINING = "draining"  # operator's LEAVE: requests are served, connections close after their response
+    LINGERING = "lingering"  # SIGTERM received, and clients don't know of it yet
+    ENDING = "ending"  # a request accepted from now on could be cut off by SIGKILL
 
 
 @dataclass(slots=True, frozen=True)
-class SendFacts:
-    """What a send depends on, all as of now.
+class SendConditions:
+    """Conditions of a send, all as of now.
 
-    `deadline` and `repeat_until` are moments on the reducer's clock, None where there is none. `reads_out` is
-    None where the send does not depend on a read (a place is asked for during one alone)."""
+    `deadline` and `repeat_until` are times on the reducer's clock, or None if there is none. `read_in_flight`
+    is None if the send does not depend on a read (a reservation is made only during one)."""
 
     now: timedelta
     client_gone: bool
-    ended: bool  # the final answer was given, or an answer has begun
-    listed: bool  # discovery lists the endpoint as one that takes new work
+    ended: bool  # the final answer was given, or a response has started
+    listed: bool  # discovery lists the endpoint as accepting new work
     deadline: timedelta | None = None
     repeat_until: timedelta | None = None
-    reads_out: bool | None = None
+    read_in_flight: bool | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class RepeatFacts:
-    """What a further attempt depends on. `may_have_run`: an earlier one reached a writer, or might have."""
+class RepeatConditions:
+    """Conditions of another attempt. `may_have_run`: an earlier attempt reached a writer, or may have."""
 
     repeatable: bool
     may_have_run: bool
     attempts: int
-    most: int | None
+    max_attempts: int | None
 
 
-def may_start(phase: Phase) -> Denial | None:
-    """Tell whether a request that has just been read may be taken."""
+def may_accept(phase: Phase) -> Denial | None:
+    """Check whether a request that was just read may be accepted."""
     return Denial.STOPPING if phase is Phase.ENDING else None
 
 
-def may_send(facts: SendFacts) -> Denial | None:
-    """Tell whether bytes of an attempt, or of a place asked for, may go to an endpoint."""
-    if facts.client_gone:
+def may_send(conditions: SendConditions) -> Denial | None:
+    """Check whether bytes of an attempt or of a reservation call may be sent to an endpoint."""
+    if conditions.client_gone:
         return Denial.CLIENT_GONE
-    if facts.ended:
-        return Denial.ENDED
-    if facts.reads_out is False:
+    if conditions.ended:
+        return Denial.REQUEST_ENDED
+    if conditions.read_in_flight is False:
         return Denial.READ_ENDED
-    if facts.repeat_until is not None and facts.now >= facts.repeat_until:
+    if conditions.repeat_until is not None and conditions.now >= conditions.repeat_until:
         return Denial.REPEAT_WINDOW_PASSED
-    if facts.deadline is not None and facts.now >= facts.deadline:
+    if conditions.deadline is not None and conditions.now >= conditions.deadline:
         return Denial.DEADLINE_PASSED
-    return None if facts.listed else Denial.NOT_LISTED
+    return None if conditions.listed else Denial.NOT_LISTED
 
 
-def may_repeat(facts: RepeatFacts) -> Denial | None:
-    """Tell whether one more attempt may be made for a request."""
-    if facts.most is not None and facts.attempts >= facts.most:
+def may_repeat(conditions: RepeatConditions) -> Denial | None:
+    """Check whether a request may have another attempt."""
+    if conditions.max_attempts is not None and conditions.attempts >= conditions.max_attempts:
         return Denial.ATTEMPTS_USED
-    return Denial.NOT_REPEATABLE if facts.may_have_run and not facts.repeatable else None
+    return Denial.NOT_REPEATABLE if conditions.may_have_run and not conditions.repeatable else None
 
 
 def may_close(
-    *, request_open: bool, bytes_wait: bool, age: float, served: bool, fresh: float
+    *, request_in_progress: bool, unread_bytes: bool, age: float, served: bool, initial_grace: float
 ) -> Denial | None:
-    """Tell whether a client's connection may be closed without an answer; asked for each in a flood of them.
-
-    `request_open`: one was read and is not answered, or its head is being read. `bytes_wait`: the system
-    holds bytes that were not read. `age`: seconds since it was accepted or its last answer was written.
-    `served`: it has carried a request before. `fresh`: seconds that a new one may be silent at first."""
-    if request_open or bytes_wait:
-        return Denial.REQUEST_WAITS
-    return None if served or age > fresh else Denial.TOO_YOUNG
+    """Check whether a client connection may be closed without a response. Called for each one in a flood.
+
+    `request_in_progress`: a request was read and isn't answered yet, or its head is being read.
+    `unread_bytes`: the system holds bytes that were not read.
+    `age`: seconds since the connection was accepted or its last response was written.
+    `served`: it has carried a request before.
+    `initial_grace`: seconds that a new connection may stay silent."""
+    if request_in_progress or unread_bytes:
+        return Denial.REQUEST_PENDING
+    return None if served or age > initial_grace else Denial.CONNECTION_NEW
--- a/hoplane/core/release.py
+++ b/hoplane/core/release.py
@@ -1,7 +1,8 @@
-"""Where a release is tried, in what order and how often. No I/O, no clock.
+"""Order and timing of the calls that release a request's state. No I/O, no clock.
 
-Any endpoint takes a release, so it fails only while none is reached: endpoints that are cut off, out of room
-for connections or gone are passed by, round after round, for as long as something may be held."""
+Any endpoint accepts a release, so it fails only while no endpoint can be reached. Endpoints that are
+partitioned, out of connections or down are skipped, and all are tried in rounds for as long as something may
+be held."""
 
 from __future__ import annotations
 
@@ -12,35 +13,35 @@
 
 from hoplane.core.events import Endpoint
 
-TRY = timedelta(milliseconds=70)  # without an answer, then another endpoint is asked as well
-AGAIN = timedelta(milliseconds=5)  # after one that failed at once, doubled in a row up to the time of a try
-PATIENCE = timedelta(seconds=0.5)  # with one that took the call and is silent; its connection is closed then
-# After a release for a read that was cut off: such a read may end well, and leave its state, a moment later.
-REPEATS = (timedelta(seconds=0.3), timedelta(seconds=0.5))
-MOST = timedelta(seconds=5)  # what a dead conductor left is freed some seconds later; so much for ours
+HEDGE_DELAY = timedelta(milliseconds=70)  # without an answer; then the next endpoint is called as well
+MIN_RETRY_DELAY = timedelta(milliseconds=5)  # after an immediate failure; doubled for each consecutive one
+CALL_TIMEOUT = timedelta(seconds=0.5)  # for an answer; then the connection is closed
+# Delays of repeated releases for a read that was cut off: it may still complete, and leave its state, later.
+REPEAT_DELAYS = (timedelta(seconds=0.3), timedelta(seconds=0.5))
+MAX_DURATION = timedelta(seconds=5)  # endpoints free the state of a dead conductor after some seconds
 
 
-def order(
+def candidate_endpoints(
     id: str, first: Sequence[Endpoint], listed: Iterable[Endpoint], zone: str | None
 ) -> Iterator[Endpoint]:
-    """Give the endpoints to ask, without end: those that had part in it, then all, round by round.
+    """Yield the endpoints to call, without end: those that took part in the request, then all in rounds.
 
-    Neighbours lie in different zones, ours first; each request begins at a spot of its own. Guards against
-    a zone that is lost or cut off, whose endpoints one after the other would take all the time there is, and
-    against all releases of a fleet meeting at one endpoint."""
+    Neighbours are in different zones, starting with our own: if a whole zone is down or partitioned, calling
+    its endpoints one after the other would use up all the time. Each request starts at its own offset, so
+    that the fleet's releases don't all go to one endpoint."""
     yield from first
-    zones: dict[str, list[Endpoint]] = {}
-    for each in listed:
-        zones.setdefault(each.zone, []).append(each)
-    spot = crc32(id.encode())
-    parts = [zones[name] for name in sorted(zones, key=lambda name: (name != zone, name))]
-    turned = [part[spot % len(part) :] + part[: spot % len(part)] for part in parts]
-    others = [each for row in zip_longest(*turned) for each in row if each is not None]
+    by_zone: dict[str, list[Endpoint]] = {}
+    for endpoint in listed:
+        by_zone.setdefault(endpoint.zone, []).append(endpoint)
+    offset = crc32(id.encode())
+    groups = [by_zone[name] for name in sorted(by_zone, key=lambda name: (name != zone, name))]
+    rotated = [group[offset % len(group) :] + group[: offset % len(group)] for group in groups]
+    others = [endpoint for row in zip_longest(*rotated) for endpoint in row if endpoint is not None]
     while first or others:
         yield from others
         yield from first
 
 
-def pause(failures: int) -> timedelta:
-    """Give the time till the next is asked after so many in a row that failed at once."""
-    return min(AGAIN * 2 ** min(failures, 8), TRY)
+def retry_delay(consecutive_failures: int) -> timedelta:
+    """Return the delay before the next call after so many consecutive calls that failed at once."""
+    return min(MIN_RETRY_DELAY * 2 ** min(consecutive_failures, 8), HEDGE_DELAY)
--- a/hoplane/net/aio.py
+++ b/hoplane/net/aio.py
@@ -23,7 +23,7 @@
 from hoplane.core import permits
 from hoplane.core.invariants import Violation
 from hoplane.core.permits import Denial
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 
 HEAD_MOST = 64 * 1024  # bytes of an answer's head, with all interim ones ahead of it
 HEAD_WAIT = timedelta(seconds=0.3)  # from a head's first byte to its end; it is written in one piece
@@ -246,11 +246,11 @@
     def denial(self, bytes_wait: bool) -> Denial | None:
         """Tell why it may not be closed, with or without bytes that wait to be read."""
         return permits.may_close(
-            request_open=not self.idle,
-            bytes_wait=bytes_wait,
+            request_in_progress=not self.idle,
+            unread_bytes=bytes_wait,
             age=self._loop.time() - self.since,
             served=self.served,
-            fresh=FRESH.total_seconds(),
+            initial_grace=FRESH.total_seconds(),
         )
 
     @property
@@ -414,7 +414,7 @@
                 if denial is None:
                     self.close_idle(each)
                     return True
-                if denial is Denial.TOO_YOUNG:  # those behind it are younger still
+                if denial is Denial.CONNECTION_NEW:  # those behind it are younger still
                     break
         return False
 
@@ -450,7 +450,7 @@
         return None
     except OSError as error:
         # A look that failed for want of memory tells nothing; any other error is the connection's end.
-        return None if error.errno in EXHAUSTED else b""
+        return None if error.errno in RESOURCE_EXHAUSTED else b""
     finally:
         probe.detach()
 
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -80,7 +80,7 @@
         Guards against requests that go by a list as old as the process before: what came since counts as told
         from this one's first moment."""
         with suppress(TimeoutError):
-            async with asyncio.timeout(self.pacing.first.total_seconds()):
+            async with asyncio.timeout(self.pacing.first_answer_timeout.total_seconds()):
                 await self.heard.wait()
 
     async def watch(self) -> None:
@@ -95,7 +95,7 @@
             silent = await self.ask()
             if silent is None:
                 answered = begun
-                self.pacing.answered()
+                self.pacing.succeeded()
                 self.heard.set()
                 if self.failing:
                     log.write_event("discovery_back", index=self.index)
@@ -106,7 +106,7 @@
 
     async def ask(self) -> bool | None:
         """Make one call and take its answer in; where that fails, tell whether nobody answered."""
-        path, (wait, patience) = "/registry/instances", self.pacing.call()
+        path, (wait, patience) = "/registry/instances", self.pacing.next_call()
         if self.index is not None:
             path += f"?since={self.index}&timeout_ms={wait // timedelta(milliseconds=1)}"
         self.pool.tally["lists" if self.index is None else "watches"] += 1
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -13,7 +13,7 @@
 import orjson
 
 from hoplane import log
-from hoplane.core.handover import Peer, Verdict, judge
+from hoplane.core.handover import HandoverDecision, Peer, decide_handover
 
 EVERY = timedelta(milliseconds=100)
 PREFIX = "hoplane-process-"
@@ -49,7 +49,7 @@
         self.folder, self.open_now, self.give_way = folder, open_now, give_way
         self.pid, self.born, self.born_wall = os.getpid(), monotonic(), wall()
         self.path = folder / f"{PREFIX}{self.pid}.json"
-        self.verdict = Verdict(False, False)
+        self.verdict = HandoverDecision(False, False)
         self.given_way = False
 
     @property
@@ -98,7 +98,7 @@
 
     def look(self) -> None:
         """Judge anew, and give way once a newer process is there."""
-        self.verdict = judge(self.pid, self.born, self.peers(), monotonic())
+        self.verdict = decide_handover(self.pid, self.born, self.peers(), monotonic())
         if self.verdict.superseded and not self.given_way:
             self.given_way = True
             log.write_event("giving_way")
--- a/hoplane/net/listener.py
+++ b/hoplane/net/listener.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from hoplane import log
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 
 ACCEPT_MOST = 16  # connections accepted in one pass, so that a flood does not take all descriptors at once
 BACKLOG = 512  # connections that may wait to be accepted
@@ -70,7 +70,7 @@
             except BlockingIOError:
                 return None
             except OSError as error:
-                if error.errno in EXHAUSTED:
+                if error.errno in RESOURCE_EXHAUSTED:
                     log.write_event_limited("accept_failed", error=repr(error))
                     raise
                 continue
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -16,7 +16,7 @@
 from yarl import URL
 
 from hoplane.config import Config
-from hoplane.core.transient import OWN_MACHINE
+from hoplane.core.transient_errors import LOCAL_FAILURES
 from hoplane.net.aio import Connector, never_resend
 from hoplane.net.tally import Tally
 
@@ -28,7 +28,7 @@
 
 def failed_here(error: Exception) -> bool:
     """Tell whether a connection failed on our own machine, which tells nothing of its endpoint."""
-    return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in OWN_MACHINE
+    return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in LOCAL_FAILURES
 
 
 class Drained(aiohttp.ClientConnectionError):
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -9,10 +9,10 @@
 
 from hoplane import log
 from hoplane.core import release as releasing
-from hoplane.core.border import to_ns
 from hoplane.core.events import Release
 from hoplane.core.invariants import Violation
-from hoplane.core.reducer import Conductor
+from hoplane.core.reducer import ConductorState
+from hoplane.core.time_conversion import to_ns
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Pool
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         pool: Pool,
-        state: Conductor,
+        state: ConductorState,
         clock: Clock,
         path: Callable[[str], str | None],
         report: Callable[[Violation, str], None],
@@ -48,7 +48,7 @@
     async def release(self, effect: Release) -> None:
         """Release what is held, and again for a read that was cut off, while nothing else is out for it."""
         await self.release_once(effect)
-        for pause in releasing.REPEATS if effect.repeat else ():
+        for pause in releasing.REPEAT_DELAYS if effect.repeat else ():
             await asyncio.sleep(pause.total_seconds())
             if effect.id in self.state.requests:  # it goes on elsewhere: its end releases all
                 return
@@ -67,23 +67,25 @@
         calls: set[asyncio.Task] = set()
         listed = list(self.state.fleet.values())
         try:
-            for endpoint in releasing.order(effect.id, effect.endpoints, listed, self.state.settings.zone):
-                call = self.pool.call("DELETE", endpoint.address, path, releasing.PATIENCE)
+            for endpoint in releasing.candidate_endpoints(
+                effect.id, effect.endpoints, listed, self.state.settings.zone
+            ):
+                call = self.pool.call("DELETE", endpoint.address, path, releasing.CALL_TIMEOUT)
                 calls.add(self.loop.create_task(call))
                 asked += 1
                 # Guards against a cut-off machine: the next is asked while the last may still answer.
                 done, calls = await asyncio.wait(
-                    calls, timeout=releasing.TRY.total_seconds(), return_when=asyncio.FIRST_COMPLETED
+                    calls, timeout=releasing.HEDGE_DELAY.total_seconds(), return_when=asyncio.FIRST_COMPLETED
                 )
                 if any(task.result() == 204 for task in done):
                     self.released(effect, asked)
                     return
                 failures = failures + 1 if done else 0
                 if done:
-                    await asyncio.sleep(releasing.pause(failures).total_seconds())
-                if self.state.began(effect.id):
+                    await asyncio.sleep(releasing.retry_delay(failures).total_seconds())
+                if self.state.response_started(effect.id):
                     return
-                if self.loop.time() - begun > releasing.MOST.total_seconds():
+                if self.loop.time() - begun > releasing.MAX_DURATION.total_seconds():
                     break
             log.write_event_limited("release_unheard", request=effect.id, asked=asked)
         finally:
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -14,12 +14,12 @@
 from hoplane import log
 from hoplane.config import Config
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns
-from hoplane.core.figures import dump
+from hoplane.core.idempotency import IdempotencyStore
 from hoplane.core.invariants import Invariants, Violation
-from hoplane.core.ledger import Ledger
 from hoplane.core.permits import Denial
-from hoplane.core.reducer import Conductor, steps
+from hoplane.core.reducer import ConductorState, iterate_effects
+from hoplane.core.statistics import collect
+from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.decision.rules import Router
 from hoplane.net.aio import Spoilt, Stale
@@ -73,8 +73,8 @@
         read_report: Callable[[bytes], dict[str, float]] = untold,
     ) -> None:
         self.config, self.pool, self.clock = config, pool, Clock()
-        ledger = Ledger(config.ledger_most, config.ledger_keep)
-        self.state = Conductor(config.settings, Router(config.settings, config.seed), ledger)
+        ledger = IdempotencyStore(config.ledger_most, config.ledger_keep)
+        self.state = ConductorState(config.settings, Router(config.settings, config.seed), ledger)
         self.live_path, self.hold_path, self.read_report = live_path, hold_path, read_report
         self.loop = asyncio.get_running_loop()
         self.answers = Bodies(config.limits.bodies)
@@ -125,7 +125,7 @@
             if type(event) is ev.EndpointsUpdated:
                 event = self.start_times.convert(event, timedelta(seconds=time.time()), self.clock.now())
             self.count(event)
-            effects.extend(steps(self.state, self.clock.now(), event))
+            effects.extend(iterate_effects(self.state, self.clock.now(), event))
         except Exception as error:
             self.broke(Violation.EVENT_FAILED, event, error)
         for effect in effects:
@@ -138,7 +138,7 @@
 
     def broke(self, violation: Violation, what: ev.Event | ev.Effect, error: Exception) -> None:
         """Count and log a fault of ours."""
-        self.invariants.note(violation)
+        self.invariants.record(violation)
         kind, id = what.log_name, getattr(what, "id", None)
         log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
@@ -164,27 +164,27 @@
         asked = exchange.asked
         deadline = self.clock.now() + asked.time_left
         self.exchanges[asked.id] = exchange
-        self.invariants.taken(asked.id, deadline)
+        self.invariants.request_received(asked.id, deadline)
         overdue = self.loop.call_at(self.clock.loop_time(deadline + OVERDUE), self.answer_overdue, exchange)
         try:
             self.feed(asked)
             response = await done
-            self.noted(self.invariants.answered(asked.id, self.clock.now()), asked.id)
+            self.noted(self.invariants.final_answer_given(asked.id, self.clock.now()), asked.id)
             return response
         except asyncio.CancelledError:
-            self.invariants.left(asked.id)
+            self.invariants.client_disconnected(asked.id)
             self.feed(ev.ClientDisconnected(asked.id))
             raise
         finally:
             overdue.cancel()
             del self.exchanges[asked.id]
-            self.noted(self.invariants.closed(asked.id), asked.id)
+            self.noted(self.invariants.handler_ended(asked.id), asked.id)
 
     def answer_overdue(self, exchange: Exchange) -> None:
         """Answer a request whose time is over and that nothing has answered: some event was lost."""
         id = exchange.asked.id
         request = self.state.requests.get(id)
-        if request is not None and request.began:
+        if request is not None and request.response_started:
             return
         self.report(Violation.ANSWERED_LATE, id)
         exchange.fail(False)
@@ -192,7 +192,7 @@
 
     def report(self, violation: Violation, id: str = "") -> None:
         """Count and log a violation."""
-        self.noted(self.invariants.note(violation), id)
+        self.noted(self.invariants.record(violation), id)
 
     def release_path(self, id: str) -> str | None:
         """Give the path that releases what is held for a request."""
@@ -205,7 +205,7 @@
 
     def figures(self) -> dict[str, object]:
         """Give the figures that the core keeps, for the operator."""
-        return dump(self.state, to_ns(self.clock.now()))
+        return collect(self.state, to_ns(self.clock.now()))
 
     def count(self, what: ev.Event | ev.Effect) -> None:
         """Count what the fleet pays for, and how each attempt and place asked for ended."""
@@ -214,7 +214,7 @@
             if endpoint is not None:
                 self.heed(endpoint.name, what.status)
         if type(what) is ev.ResponseStarted:
-            self.invariants.began(what.id)
+            self.invariants.response_started(what.id)
         if name := COUNTED.get(type(what)):
             self.pool.tally[name(what)] += 1
 
@@ -246,7 +246,7 @@
         facts = effect.fields
         if told := facts.get("not_live"):
             facts = {**facts, "last_sent": {n: self.last_sent[n] for n in told if n in self.last_sent}}
-            self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.numbers}
+            self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.server_ids}
         log.write_event(effect.event, **facts)
 
     def refuse(self, effect: ev.Refuse) -> None:
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -13,7 +13,7 @@
 from hoplane.config import BODY_MOST, Config, Limits
 from hoplane.core import permits
 from hoplane.core.permits import Denial, Phase
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 from hoplane.net.aio import Door, listening
 from hoplane.net.listener import Listener
 
@@ -165,7 +165,7 @@
                 made = listening(*self.config.listen, inherited=self.config.inherited)
                 break
             except OSError as error:
-                if error.errno not in EXHAUSTED or left == 0:
+                if error.errno not in RESOURCE_EXHAUSTED or left == 0:
                     raise
                 await asyncio.sleep(START_RETRY.total_seconds())
         self.listener = Listener(made, self.door)
@@ -187,7 +187,7 @@
 
     def may_start(self) -> Denial | None:
         """Tell whether a request that has just been read may be taken."""
-        return permits.may_start(self.phase)
+        return permits.may_accept(self.phase)
 
     @property
     def ready(self) -> bool:
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -10,7 +10,7 @@
 from hoplane import slog
 from hoplane.config import Config
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns
+from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import Status
 from hoplane.lease.etcd import Etcd
 from hoplane.lease.keeper import clock
@@ -77,7 +77,7 @@
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
         """Tell whether a send may go as its bytes do; one to a cold endpoint is written down for audits."""
-        server = runtime.state.numbers.get(endpoint.name)
+        server = runtime.state.server_ids.get(endpoint.name)
         if server is None or not self.cold(runtime, server):
             return True
         if fits := self.purse(runtime, server).go(self.now()):
@@ -138,7 +138,7 @@
         """Take our conductors' counts over; they only grow."""
         totals: dict[str, int] = {}
         for runtime in self.runtimes():
-            for cls, counts in runtime.state.figures.transactions.items():
+            for cls, counts in runtime.state.statistics.transactions.items():
                 for what, count in counts.items():
                     totals[f"{cls}/{what}"] = totals.get(f"{cls}/{what}", 0) + count
         self.sharing.counter.take(self.sharing.process, totals)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,9 +7,9 @@
 import pytest
 
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns, to_span
-from hoplane.core.ledger import Ledger
-from hoplane.core.reducer import Conductor, Held, reduce
+from hoplane.core.idempotency import IdempotencyStore
+from hoplane.core.reducer import ConductorState, HeldStateTimer, reduce
+from hoplane.core.time_conversion import to_ns, to_timedelta
 from hoplane.decision import interface as api
 from hoplane.decision.interface import State, Status
 from hoplane.decision.rules import Router
@@ -37,7 +37,7 @@
 class Core:
     def __init__(self, **changes):
         told = replace(SETTINGS, **changes)
-        self.state = Conductor(told, Router(told, 1), Ledger(9, 10 * 60 * SECOND))
+        self.state = ConductorState(told, Router(told, 1), IdempotencyStore(9, 10 * 60 * SECOND))
         self.now = 1000 * SECOND
         fleet = endpoint("r", "reader"), endpoint("w", "writer"), endpoint("w2", "writer")
         self.do(ev.EndpointsUpdated(fleet, True))
@@ -155,7 +155,7 @@
     core = Core(reserve_ahead=False)
     core.ask()
     write, since = core.read(holds=0), core.now
-    (held,) = [each for each in core.of(ev.SetTimer) if isinstance(each.timer, Held)]
+    (held,) = [each for each in core.of(ev.SetTimer) if isinstance(each.timer, HeldStateTimer)]
     assert held.at <= since + 450 * MS
     core.do(ev.AttemptEnded("q", write.attempt, Status.CONNECT_FAILED), 250 * MS)
     assert core.of(ev.Forward) and not core.of(ev.Release), "the other writer is tried"
@@ -169,7 +169,7 @@
     core.ask()
     core.do(ev.ReservationFinished("q", 0, True))
     core.read(holds=0)
-    (held,) = [each for each in core.of(ev.SetTimer) if isinstance(each.timer, Held)]
+    (held,) = [each for each in core.of(ev.SetTimer) if isinstance(each.timer, HeldStateTimer)]
     core.do(ev.ResponseStarted("q", 1), MS)
     assert not core.do(ev.TimerFired(held.timer), SECOND)
 
@@ -263,13 +263,13 @@
 
 
 def test_the_ledger_is_bounded_and_refuses_rather_than_forgets():
-    ledger = Ledger(2, SECOND)
+    ledger = IdempotencyStore(2, SECOND)
     ledger.start("a")
     ledger.start("b")
     assert ledger.full
     ledger.end("a", timedelta(), True)
-    assert ledger.full and ledger.clashes("a", SECOND)
-    assert not ledger.clashes("a", 3 * SECOND) and not ledger.full
+    assert ledger.full and ledger.is_duplicate("a", SECOND)
+    assert not ledger.is_duplicate("a", 3 * SECOND) and not ledger.full
 
 
 def test_a_whole_list_removes_and_changes_add(core):
@@ -281,11 +281,11 @@
 
 def test_two_names_never_share_a_number(core, monkeypatch):
     monkeypatch.setattr("hoplane.core.reducer.crc32", lambda data: 7)
-    assert {core.state.number(name) for name in ("a", "b", "c")} == {7, 8, 9}
+    assert {core.state.server_id(name) for name in ("a", "b", "c")} == {7, 8, 9}
 
 
 def test_spans_cross_the_border_and_timers_never_fire_early():
-    assert to_ns(to_span(1_500_000)) == 1_500_000 and to_span(1) == timedelta(microseconds=1)
+    assert to_ns(to_timedelta(1_500_000)) == 1_500_000 and to_timedelta(1) == timedelta(microseconds=1)
 
 
 def test_endpoints_that_are_gone_leave_nothing_behind():
@@ -294,11 +294,11 @@
         core.do(ev.EndpointsUpdated((endpoint(f"new{number}", "writer"),), False))
         core.do(ev.EndpointsUpdated((endpoint(f"new{number}", "writer", State.GONE),), False))
     core.do(ev.EndpointsUpdated((), False))
-    assert len(core.state.numbers) == len(core.state.fleet) == len(core.state.router.servers) == 3
-    before = core.state.number("r")
+    assert len(core.state.server_ids) == len(core.state.fleet) == len(core.state.router.servers) == 3
+    before = core.state.server_id("r")
     core.do(ev.EndpointsUpdated((endpoint("r", "reader", State.GONE),), False))
     core.do(ev.EndpointsUpdated((endpoint("r", "reader"),), False))
-    assert core.state.number("r") == before
+    assert core.state.server_id("r") == before
 
 
 def test_a_silent_endpoint_is_probed_and_the_answer_told_to_the_module(core, monkeypatch):
@@ -307,10 +307,10 @@
     monkeypatch.setitem(
         core.state.router.handlers,
         api.TimerFired,
-        lambda event: core.state.router.actions.append(api.Probe(core.state.number("w"))),
+        lambda event: core.state.router.actions.append(api.Probe(core.state.server_id("w"))),
     )
     (probe,) = core.do(ev.TimerFired(1))
-    assert probe == ev.Probe(core.state.number("w"), endpoint("w", "writer"))
+    assert probe == ev.Probe(core.state.server_id("w"), endpoint("w", "writer"))
     core.do(ev.ProbeFinished(probe.server, Status.TIMEOUT, 300 * MS))
     assert told == [api.ProbeResult(probe.server, Status.TIMEOUT, 300_000_000)]
     core.do(ev.EndpointsUpdated((endpoint("w", "writer", State.GONE),), False))
--- a/tests/test_odd_settings.py
+++ b/tests/test_odd_settings.py
@@ -54,7 +54,7 @@
                 assert any(each in named for each in own), error
             continue
         Router(config.settings, 1)
-        Pacing(config.settings, random.Random(1)).failed(silent=True)
+        Pacing(config.settings, random.Random(1)).failed(timed_out=True)
 
 
 def test_many_classes_and_no_tenant_are_taken_and_two_of_a_name_are_not():
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -7,7 +7,7 @@
 import pytest
 from conftest import MS, S, settings
 
-from hoplane.core.pacing import CLOCK, PATIENCE_MOST, PAUSE_MOST, QUEUED, Pacing
+from hoplane.core.pacing import MAX_BACKOFF, MAX_CALL_TIMEOUT, MAX_QUEUE_TIME, MAX_STALENESS, Pacing
 
 
 def asking(conductors, seed=1, position=0):
@@ -17,18 +17,18 @@
 
 def test_a_lost_watch_is_asked_anew_at_once_where_few_ask_and_ever_more_seldom_if_it_stays_lost():
     pacing = asking(4)
-    assert pacing.call()[1] < timedelta(seconds=1.1)
-    assert pacing.failed(silent=False) < timedelta(milliseconds=200), "the watch still goes on"
-    later = [pacing.failed(silent=False) for _ in range(20)][-5:]
-    assert all(PAUSE_MOST / 2 <= pause <= PAUSE_MOST for pause in later)
-    pacing.answered()
-    assert pacing.failed(silent=False) < timedelta(milliseconds=200)
+    assert pacing.next_call()[1] < timedelta(seconds=1.1)
+    assert pacing.failed(timed_out=False) < timedelta(milliseconds=200), "the watch still goes on"
+    later = [pacing.failed(timed_out=False) for _ in range(20)][-5:]
+    assert all(MAX_BACKOFF / 2 <= pause <= MAX_BACKOFF for pause in later)
+    pacing.succeeded()
+    assert pacing.failed(timed_out=False) < timedelta(milliseconds=200)
 
 
 def test_one_of_many_waits_for_its_turn_and_comes_back_at_a_moment_of_its_own():
     many = [asking(40, seed, position=seed) for seed in range(40)]
-    assert {pacing.call()[1] for pacing in many} == {PATIENCE_MOST}
-    pauses = [pacing.failed(silent=False) for pacing in many]
+    assert {pacing.next_call()[1] for pacing in many} == {MAX_CALL_TIMEOUT}
+    pauses = [pacing.failed(timed_out=False) for pacing in many]
     assert pauses == sorted(pauses), "one by one, by their numbers"
     assert pauses[-1] - pauses[0] > timedelta(seconds=1.5), "as many turns as there are conductors"
 
@@ -46,14 +46,16 @@
         for _ in range(8):
             call = now
             silent = rng.random() < 0.2
-            now += pacing.call()[1] if silent else rng.choice([zero, QUEUED])
+            now += pacing.next_call()[1] if silent else rng.choice([zero, MAX_QUEUE_TIME])
             unheard = now
             pause = pacing.failed(silent, unheard)
-            if unheard < PAUSE_MOST:
-                assert now + pause <= PAUSE_MOST, "the next call still begins in time"
-            assert pause + QUEUED <= CLOCK, "and it does after each that was refused or turned away"
+            if unheard < MAX_BACKOFF:
+                assert now + pause <= MAX_BACKOFF, "the next call still begins in time"
+            assert pause + MAX_QUEUE_TIME <= MAX_STALENESS, (
+                "and it does after each that was refused or turned away"
+            )
             if silent:
-                assert now + pause + QUEUED <= call + CLOCK
+                assert now + pause + MAX_QUEUE_TIME <= call + MAX_STALENESS
             now += pause
 
 
@@ -61,10 +63,10 @@
 def test_a_watch_that_fell_silent_is_heard_again_before_what_it_missed_counts_as_told(conductors):
     for seed in range(50):
         pacing = asking(conductors, seed)
-        silent = pacing.call()[1]
+        silent = pacing.next_call()[1]
         for _ in range(8):  # in a row: the last answer came as the last watch fell silent
-            assert silent + pacing.failed(silent=True) + QUEUED <= CLOCK
-            silent = pacing.call()[1]
+            assert silent + pacing.failed(timed_out=True) + MAX_QUEUE_TIME <= MAX_STALENESS
+            silent = pacing.next_call()[1]
 
 
 @pytest.mark.parametrize("grace", [250 * MS, S, 4 * S])
@@ -75,10 +77,12 @@
     """The agent answers at once, but may be silent to a call that came before discovery's return."""
     for seed in range(50):
         pacing = Pacing(settings(routers=conductors, drain_grace=grace), random.Random(seed))
-        assert pacing.call()[0] + pacing.call()[1] < timedelta(seconds=CLOCK.total_seconds() / 2)
-        pacing.failed(silent=True)
+        assert pacing.next_call()[0] + pacing.next_call()[1] < timedelta(
+            seconds=MAX_STALENESS.total_seconds() / 2
+        )
+        pacing.failed(timed_out=True)
         for silent in (True, False) * 8:
-            _, cut_off = pacing.call()
+            _, cut_off = pacing.next_call()
             met = cut_off + pacing.failed(silent)
             assert met <= timedelta(microseconds=grace / 2000)
 
@@ -96,7 +100,7 @@
     while calls and calls[0][0] < until:
         now, n, pacing = heapq.heappop(calls)
         asked += 1
-        wait, patience = max(0.0, free - now), pacing.call()[1].total_seconds()
+        wait, patience = max(0.0, free - now), pacing.next_call()[1].total_seconds()
         silent = False
         if wait <= queue:
             free = max(free, now) + 1 / a_second
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -10,12 +10,12 @@
 
 from hoplane.core import events as ev
 from hoplane.core import permits
-from hoplane.core.invariants import LATE, Invariants, Violation
-from hoplane.core.permits import Denial, Phase, RepeatFacts, SendFacts
+from hoplane.core.invariants import MAX_LATENESS, Invariants, Violation
+from hoplane.core.permits import Denial, Phase, RepeatConditions, SendConditions
 from hoplane.decision.interface import State, Status
 
 ZERO, SECOND = timedelta(), timedelta(seconds=1)
-GOOD = SendFacts(ZERO, client_gone=False, ended=False, listed=True, deadline=SECOND, repeat_until=SECOND)
+GOOD = SendConditions(ZERO, client_gone=False, ended=False, listed=True, deadline=SECOND, repeat_until=SECOND)
 
 
 @pytest.mark.parametrize(
@@ -23,12 +23,12 @@
     [
         ({}, None),
         ({"client_gone": True}, Denial.CLIENT_GONE),
-        ({"ended": True}, Denial.ENDED),
+        ({"ended": True}, Denial.REQUEST_ENDED),
         ({"listed": False}, Denial.NOT_LISTED),
         ({"deadline": ZERO}, Denial.DEADLINE_PASSED),
         ({"repeat_until": ZERO}, Denial.REPEAT_WINDOW_PASSED),
-        ({"reads_out": False}, Denial.READ_ENDED),
-        ({"reads_out": True, "deadline": None, "repeat_until": None}, None),
+        ({"read_in_flight": False}, Denial.READ_ENDED),
+        ({"read_in_flight": True, "deadline": None, "repeat_until": None}, None),
     ],
 )
 def test_a_send_needs_a_client_a_time_a_window_and_an_endpoint(change, denial):
@@ -36,32 +36,38 @@
 
 
 def test_a_repeat_a_start_and_a_close_need_their_own():
-    assert permits.may_repeat(RepeatFacts(False, True, 1, 4)) is Denial.NOT_REPEATABLE
-    assert permits.may_repeat(RepeatFacts(True, True, 4, 4)) is Denial.ATTEMPTS_USED
-    assert permits.may_repeat(RepeatFacts(True, True, 3, 4)) is None
-    assert [permits.may_start(phase) for phase in Phase] == [None, None, None, Denial.STOPPING]
-    rests = {"request_open": False, "bytes_wait": False, "age": 1.0, "served": True, "fresh": 0.3}
+    assert permits.may_repeat(RepeatConditions(False, True, 1, 4)) is Denial.NOT_REPEATABLE
+    assert permits.may_repeat(RepeatConditions(True, True, 4, 4)) is Denial.ATTEMPTS_USED
+    assert permits.may_repeat(RepeatConditions(True, True, 3, 4)) is None
+    assert [permits.may_accept(phase) for phase in Phase] == [None, None, None, Denial.STOPPING]
+    rests = {
+        "request_in_progress": False,
+        "unread_bytes": False,
+        "age": 1.0,
+        "served": True,
+        "initial_grace": 0.3,
+    }
     assert permits.may_close(**rests) is None
-    assert permits.may_close(**{**rests, "bytes_wait": True}) is Denial.REQUEST_WAITS
-    assert permits.may_close(**{**rests, "request_open": True}) is Denial.REQUEST_WAITS
-    assert permits.may_close(**{**rests, "served": False, "age": 0.0}) is Denial.TOO_YOUNG
+    assert permits.may_close(**{**rests, "unread_bytes": True}) is Denial.REQUEST_PENDING
+    assert permits.may_close(**{**rests, "request_in_progress": True}) is Denial.REQUEST_PENDING
+    assert permits.may_close(**{**rests, "served": False, "age": 0.0}) is Denial.CONNECTION_NEW
 
 
 def test_the_checks_count_an_answer_that_is_late_missing_or_the_second():
     checks = Invariants()
-    checks.taken("a", SECOND)
-    assert checks.answered("a", SECOND + LATE) is None
-    assert checks.answered("a", SECOND) is Violation.ANSWERED_TWICE
-    checks.taken("b", SECOND)
-    assert checks.answered("b", SECOND + 2 * LATE) is Violation.ANSWERED_LATE
-    checks.taken("c", SECOND)
-    checks.began("c")
-    assert checks.answered("c", 100 * SECOND) is None
-    checks.taken("d", SECOND)
-    checks.left("d")
-    assert checks.closed("d") is None
-    checks.taken("e", SECOND)
-    assert checks.closed("e") is Violation.ENDED_UNANSWERED and checks.total == 3
+    checks.request_received("a", SECOND)
+    assert checks.final_answer_given("a", SECOND + MAX_LATENESS) is None
+    assert checks.final_answer_given("a", SECOND) is Violation.ANSWERED_TWICE
+    checks.request_received("b", SECOND)
+    assert checks.final_answer_given("b", SECOND + 2 * MAX_LATENESS) is Violation.ANSWERED_LATE
+    checks.request_received("c", SECOND)
+    checks.response_started("c")
+    assert checks.final_answer_given("c", 100 * SECOND) is None
+    checks.request_received("d", SECOND)
+    checks.client_disconnected("d")
+    assert checks.handler_ended("d") is None
+    checks.request_received("e", SECOND)
+    assert checks.handler_ended("e") is Violation.ENDED_UNANSWERED and checks.total == 3
 
 
 ENDS = st.sampled_from([each for each in Status if each is not Status.MOOT])
@@ -106,17 +112,17 @@
         if kind == "end" and which in self.open:
             self.open.discard(which)
             attempt = request and request.attempts[which]
-            if status is Status.OK and not (attempt and attempt.began):
+            if status is Status.OK and not (attempt and attempt.response_started):
                 status = Status.ERROR  # the runtime tells of an answer's begin before its end
-            elif status is Status.MISS and not (attempt and attempt.reads):
+            elif status is Status.MISS and not (attempt and attempt.is_read):
                 status = Status.FULL
             self.follow(self.core.do(ev.AttemptEnded("q", which, status), after))
         elif kind == "hold" and self.holds:
             self.follow(
                 self.core.do(ev.ReservationFinished("q", self.holds.pop(), (True, False, None)[which % 3]))
             )
-        elif kind == "begin" and which in self.open and request and not request.attempts[which].reads:
-            begun = request.began or request.closed
+        elif kind == "begin" and which in self.open and request and not request.attempts[which].is_read:
+            begun = request.response_started or request.closed
             self.follow(self.core.do(ev.ResponseStarted("q", which), after))
             self.answers += not begun
         elif kind == "left" and not self.answers:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -27,14 +27,17 @@
 
 def test_a_release_asks_all_again_and_again_and_neighbours_lie_in_different_zones():
     fleet = [endpoint(f"{zone}{n}", zone) for zone in "abc" for n in range(40)]
-    asked = list(islice(release.order("q", fleet[:1], fleet, "b"), 600))
+    asked = list(islice(release.candidate_endpoints("q", fleet[:1], fleet, "b"), 600))
     assert asked[0] is fleet[0] and {each.name for each in asked[1:121]} == {each.name for each in fleet}
     assert asked[1].zone == "b", "our own zone first"
     for lost in "abc":  # 300 ms more than the settings say are four tries
         assert all(any(each.zone != lost for each in asked[at : at + 2]) for at in range(1, 119))
-    assert len({next(islice(release.order(f"q{n}", (), fleet, "b"), 1)).name for n in range(200)}) > 30
-    assert list(release.order("q", (), (), "b")) == []
-    assert release.pause(1) < release.pause(3) < release.pause(50) == release.TRY
+    assert (
+        len({next(islice(release.candidate_endpoints(f"q{n}", (), fleet, "b"), 1)).name for n in range(200)})
+        > 30
+    )
+    assert list(release.candidate_endpoints("q", (), (), "b")) == []
+    assert release.retry_delay(1) < release.retry_delay(3) < release.retry_delay(50) == release.HEDGE_DELAY
 
 
 @pytest.mark.parametrize("want", ["refused", "no socket"])
@@ -64,7 +67,7 @@
     async def test():
         nobody = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
         runtime = start(nobody, nobody)
-        runtime.state.began = lambda id: True
+        runtime.state.response_started = lambda id: True
         await within(runtime.release(Release("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -104,12 +104,12 @@
         classes=tuple(replace(each, effect=api.Effect.SAFE) for each in CORE_SETTINGS.classes),
     )
     core.do(ev.SettingsReloaded(retuned))
-    assert core.state.figures.conf_loaded == 1
+    assert core.state.statistics.conf_loaded == 1
     forward = core.read("old")
     assert forward.at_most_once, "a booking taken before stays a booking"
     core.ask("new", cls="once")
     assert not core.read("new").at_most_once, "one taken after has the new effect"
-    assert core.state.requests["new"].cap == 2 and core.state.requests["old"].cap is None
+    assert core.state.requests["new"].max_attempts == 2 and core.state.requests["old"].max_attempts is None
     assert core.state.router.jobs["new"].cap == 2 and core.state.router.jobs["old"].cap is None
 
 
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -8,8 +8,8 @@
 from standins import EVENT, SETTINGS, STREAM, Server, chat, chunk, entry, message, platform, within
 
 from hoplane.core import events as ev
-from hoplane.core.ledger import Ledger
-from hoplane.core.reducer import Conductor, reduce
+from hoplane.core.idempotency import IdempotencyStore
+from hoplane.core.reducer import ConductorState, reduce
 from hoplane.decision import interface as api
 from hoplane.decision.rules import Router
 from hoplane.fronts.platform import read_asked
@@ -45,7 +45,7 @@
         retry_after=retry_after,
         max_retry_after=10**9,
     )
-    state = Conductor(settings, Router(settings, 1), Ledger(10, ev.timedelta(seconds=1)))
+    state = ConductorState(settings, Router(settings, 1), IdempotencyStore(10, ev.timedelta(seconds=1)))
     endpoint = ev.Endpoint("e", "h:1", "z", "both", 0, api.State.LIVE)
     reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated((endpoint,), True))
     return state
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -113,13 +113,19 @@
 def test_a_new_process_says_yes_at_last_while_the_old_one_holds_on():
     from datetime import timedelta
 
-    from hoplane.core.handover import PATIENCE, Peer, judge
+    from hoplane.core.handover import MAX_READINESS_DELAY, Peer, decide_handover
 
     s = timedelta(seconds=1)
     old = Peer(10, 100 * s, 3, 104 * s)
-    assert judge(11, 103 * s, [old], 104 * s).waiting
-    assert not judge(11, 103 * s, [old], 103 * s + PATIENCE).waiting, "it says yes after its patience"
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, "the old one is empty"
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, "the old one is gone"
-    assert judge(10, 100 * s, [Peer(11, 103 * s, 0, 104 * s)], 104 * s).superseded
-    assert not judge(11, 103 * s, [old], 104 * s).superseded
+    assert decide_handover(11, 103 * s, [old], 104 * s).waiting
+    assert not decide_handover(11, 103 * s, [old], 103 * s + MAX_READINESS_DELAY).waiting, (
+        "it says yes after its patience"
+    )
+    assert not decide_handover(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, (
+        "the old one is empty"
+    )
+    assert not decide_handover(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, (
+        "the old one is gone"
+    )
+    assert decide_handover(10, 100 * s, [Peer(11, 103 * s, 0, 104 * s)], 104 * s).superseded
+    assert not decide_handover(11, 103 * s, [old], 104 * s).superseded
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from hoplane.core.events import Endpoint, EndpointsUpdated
-from hoplane.core.handover import Peer, judge
+from hoplane.core.handover import Peer, decide_handover
 from hoplane.decision.interface import State
 from hoplane.net.handover import read_peer
 from hoplane.net.start_times import StartTimes
@@ -53,7 +53,7 @@
     }
     peer = read_peer(told, told_wall=EPOCH + 2 * step, wall=EPOCH, monotonic=timedelta(seconds=200.1))
     assert peer == Peer(1, timedelta(seconds=100), 2, timedelta(seconds=200))
-    verdict = judge(2, timedelta(seconds=199), [peer], timedelta(seconds=200.1))
+    verdict = decide_handover(2, timedelta(seconds=199), [peer], timedelta(seconds=200.1))
     assert verdict.waiting and not verdict.superseded
 
 
