--- a/hoplane/core/__init__.py
+++ b/hoplane/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: requests, attempts, holds and the fleet, with no I/O and no wire."""
+"""The core: state of requests, attempts, reservations and the fleet, without I/O or wire formats."""
--- a/hoplane/core/pacing.py
+++ b/hoplane/core/pacing.py
@@ -29,7 +29,7 @@
 MAX_BACKOFF = MAX_STALENESS - MAX_QUEUE_TIME  # so that the next call, if queued, is answered by then
 NO_WAIT = timedelta(milliseconds=1)  # long-poll wait of a call that only fetches the current list
 DEFAULT_DRAIN_GRACE = timedelta(seconds=1)  # if the settings give none
-AGENT_TIMEOUT_SHARE, BACKOFF_SHARE = 0.3, 0.1  # of the drain grace
+AGENT_TIMEOUT_SHARE, BACKOFF_SHARE = 0.3, 0.1  # of the drain grace: a NO_WAIT call's timeout, and backoff
 
 
 class Pacing:
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -1,4 +1,4 @@
-"""The one reducer: every change of request, attempt, hold and fleet state happens here."""
+"""The reducer. All changes to the state of requests, attempts, reservations and the fleet happen here."""
 
 from __future__ import annotations
 
@@ -22,68 +22,60 @@
 
 ANSWERED_STATUSES = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
 MAY_HAVE_RUN_STATUSES = (Status.OK, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
-INTERRUPTED_RELEASE_DELAY = timedelta(
-    milliseconds=15
-)  # a release waits so long after a cut: the close goes ahead of it
-DEFAULT_HOLD_LIMIT = timedelta(
-    milliseconds=500
-)  # how long something may be held where the settings name no limit
-RELEASE_LEAD = timedelta(
-    milliseconds=100
-)  # a release begins so long before that, for its way and a busy loop
-UNKNOWN_ANSWER_LEAD = timedelta(
-    milliseconds=200
-)  # of the 300 ms before an answer "not known"; the rest is slack
-DEADLINE_GRACE = timedelta(milliseconds=5)  # after the deadline, which the module sees to by itself
+# Delay of a release after an interrupted attempt, so that the close of its connection arrives first.
+INTERRUPTED_RELEASE_DELAY = timedelta(milliseconds=15)
+DEFAULT_HOLD_LIMIT = timedelta(milliseconds=500)  # if the settings give no limit
+RELEASE_LEAD = timedelta(milliseconds=100)  # before the limit, for the network and a busy event loop
+# A reservation may exist since 300 ms before an answer "unknown"; the part not deducted here is slack.
+UNKNOWN_ANSWER_LEAD = timedelta(milliseconds=200)
+DEADLINE_GRACE = timedelta(milliseconds=5)  # after the deadline, which the decision module enforces itself
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One send of a request."""
+    """One attempt of a request at an endpoint."""
 
     server: int
     is_read: bool
     sent_at: timedelta
     response_started: bool = False
     ended: bool = False
-    answered: bool = False  # its endpoint was reached, as it answered
-    abandon_status: Status | None = None  # how it counts once its connection is closed
+    answered: bool = False  # the endpoint answered, so it was reached
+    abandon_status: Status | None = None  # set when abandoned: its status once the connection is closed
 
 
 @dataclass(slots=True)
 class Request:
-    """A request taken, until its last attempt and hold are in."""
+    """A request, from its arrival until its last attempt and reservation call have ended."""
 
     received: ev.RequestReceived
     received_at: timedelta
     deadline: timedelta
-    max_attempts: int | None = None  # attempts, and its class, as the settings were when it came
+    max_attempts: int | None = None  # this and the class are from the settings at its arrival
     class_settings: api.ClassSettings | None = None
-    repeat_until: timedelta | None = None  # when endpoints discard its repeats no more, once it may have run
+    repeat_until: timedelta | None = None  # once it may have run: until when endpoints discard duplicates
     attempts: list[Attempt] = field(default_factory=list)
     response_started: bool = False
-    closed: bool = False  # the client has its answer, is getting it, or is gone
-    answer_pending: bool = False  # closed as we end, and still to be answered
-    pending_reservations: int = 0  # calls out that ask for a place
-    interrupted: bool = (
-        False  # an attempt or a place asked for was cut off: what it left may show a moment later
-    )
-    held_since: timedelta | None = None  # since when what it left may be held, None while a release is out
+    closed: bool = False  # the client has its answer, is receiving it, or has disconnected
+    answer_pending: bool = False  # closed because the process ends, and not yet answered
+    pending_reservations: int = 0  # reservation calls in flight
+    interrupted: bool = False  # an attempt or reservation call was cut off; its state may appear later
+    held_since: timedelta | None = None  # when state may first have been held; None while being released
     may_have_run: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether it may be refused though it may have run."""
+        """Return whether the request may be refused although it may have run."""
         return self.class_settings is None or self.class_settings.repeatable
 
     def has_effect(self, effect: api.Effect) -> bool:
-        """Tell whether its class has this effect."""
+        """Return whether the request's class has this effect."""
         return self.class_settings is not None and self.class_settings.effect is effect
 
 
 @dataclass(slots=True, frozen=True)
 class HeldStateTimer:
-    """The timer of what a request left at a time: it has to be let go of unless an answer has begun."""
+    """Timer for state that a request may hold at endpoints: released unless a response has started."""
 
     id: str
     held_since: timedelta
@@ -91,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReservationTimer:
-    """The timer of a place that may be held for a read which may not have arrived."""
+    """Timer for a reservation that may exist although its read may not have reached the endpoint."""
 
     id: str
     attempt: int
@@ -100,36 +92,36 @@
 
 @dataclass
 class ConductorState:
-    """The state that `reduce` changes."""
+    """The conductor's state, changed by `reduce` only."""
 
     settings: api.Settings
     router: Router
     idempotency_store: IdempotencyStore
     requests: dict[str, Request] = field(default_factory=dict)
-    server_ids: dict[str, int] = field(default_factory=dict)  # the module's server numbers, by name
+    server_ids: dict[str, int] = field(default_factory=dict)  # of the decision module, by endpoint name
     fleet: dict[int, ev.Endpoint] = field(default_factory=dict)
     statistics: Statistics = field(default_factory=Statistics)
     invariants: Invariants = field(default_factory=Invariants)
 
     def accepts_work(self, endpoint: ev.Endpoint) -> bool:
-        """Tell whether an endpoint is listed as one that may have new work."""
+        """Return whether an endpoint is listed as accepting new work."""
         listed = self.fleet.get(self.server_ids.get(endpoint.name))
         return listed is not None and listed.state is api.State.LIVE
 
     def may_send(
         self, effect: ev.Forward | ev.Reserve, now: timedelta, client_gone: bool, deadline: timedelta | None
     ) -> Denial | None:
-        """Tell whether an attempt's bytes, or a place's request, may go now; see `core/permits.py`."""
+        """Check whether bytes of an attempt or a reservation call may be sent now; see `core/permits.py`."""
         request, attempt = self.requests.get(effect.id), None
         if request is not None and effect.attempt < len(request.attempts):
             attempt = request.attempts[effect.attempt]
         forward = effect if isinstance(effect, ev.Forward) else None
-        given_up = attempt is not None and attempt.abandon_status is not None
+        abandoned = attempt is not None and attempt.abandon_status is not None
         return permits.may_send(
             permits.SendConditions(
                 now,
                 client_gone,
-                request is None or request.closed or request.response_started or given_up,
+                request is None or request.closed or request.response_started or abandoned,
                 self.accepts_work(effect.endpoint),
                 deadline,
                 forward and forward.repeat_until,
@@ -138,25 +130,26 @@
         )
 
     def response_started(self, id: str) -> bool:
-        """Tell whether a request's answer has begun, with which all that was held for it is let go of."""
+        """Return whether a request's response has started; endpoints then release all that it held."""
         request = self.requests.get(id)
         return request is not None and request.response_started
 
     def hold_limit(self) -> timedelta:
-        """Give how long something may be held before its release begins."""
-        told = self.settings.release_within
-        limit = DEFAULT_HOLD_LIMIT if told is None else to_timedelta(told)
+        """Return how long state may be held before its release starts."""
+        limit_ns = self.settings.release_within
+        limit = DEFAULT_HOLD_LIMIT if limit_ns is None else to_timedelta(limit_ns)
         return max(limit / 2, limit - RELEASE_LEAD)
 
     def reservation_release_delay(self) -> timedelta:
-        """Give how long after an answer "not known" a place is released that may be held since before."""
-        told = self.settings.release_within
+        """Return the time from an answer "unknown" to the release of a reservation that may exist."""
+        limit_ns = self.settings.release_within
         return max(
-            ev.ZERO, (DEFAULT_HOLD_LIMIT if told is None else to_timedelta(told)) - UNKNOWN_ANSWER_LEAD
+            ev.ZERO,
+            (DEFAULT_HOLD_LIMIT if limit_ns is None else to_timedelta(limit_ns)) - UNKNOWN_ANSWER_LEAD,
         )
 
     def server_id(self, name: str) -> int:
-        """Give an endpoint's number: the same at every conductor, as the module's ring hashes it."""
+        """Return an endpoint's id for the hash ring, the same in all conductors."""
         if name not in self.server_ids:
             server_id, used_ids = crc32(name.encode()), set(self.server_ids.values())
             while server_id in used_ids:
@@ -166,29 +159,31 @@
 
 
 def reduce(state: ConductorState, now: timedelta, event: ev.Event) -> list[ev.Effect]:
-    """Take an event in and give the effects that it calls for, in order."""
+    """Apply an event to the state and return the resulting effects in order."""
     return list(iterate_effects(state, now, event))
 
 
 def iterate_effects(state: ConductorState, now: timedelta, event: ev.Event) -> Iterator[ev.Effect]:
-    """Take an event in and give its effects one by one, so that a fault costs none of those before it."""
-    releasing = set()
+    """Apply an event and yield its effects one by one, so that an exception loses no earlier effect."""
+    released = set()
     for each in HANDLERS[type(event)](state, now, event):
-        # A release may be asked for more than once, at an attempt's end and at the request's: one is enough.
-        if type(each) is not ev.Release or each.id not in releasing:
+        # The end of an attempt and of its request may each yield a release; one is enough.
+        if type(each) is not ev.Release or each.id not in released:
             yield each
         if type(each) is ev.Release:
-            releasing.add(each.id)
+            released.add(each.id)
 
 
 def run_module(state: ConductorState, now: timedelta, event: api.Event) -> Iterator[ev.Effect]:
-    """Let the module decide, and turn its actions into effects; what it sent in vain is told at once."""
+    """Pass an event to the decision module and yield its actions as effects.
+
+    The outcome of a send that can't be started is passed back to the module at once."""
     pending = [event]
     while pending:
         for action in state.router.handle(to_ns(now), pending.pop(0)):
             if type(action) is api.Send:
-                moot = yield from send(state, now, action)
-                pending.extend(moot)
+                outcomes = yield from send(state, now, action)
+                pending.extend(outcomes)
             elif handler := ACTIONS.get(type(action)):
                 yield from handler(state, now, action)
 
@@ -199,23 +194,25 @@
 def on_request_received(
     state: ConductorState, now: timedelta, event: ev.RequestReceived
 ) -> Iterator[ev.Effect]:
-    """Take a request, unless its id is in use or may have run."""
-    once = event.idempotency_key
-    if event.id in state.requests or (once and state.idempotency_store.is_duplicate(once, now)):
+    """Accept a request, unless its id is in use or its idempotency key may have run."""
+    key = event.idempotency_key
+    if event.id in state.requests or (key and state.idempotency_store.is_duplicate(key, now)):
         state.statistics.count(event.class_name, "errored")
-        yield ev.Fail(event.id, "its id is running or may have run", duplicate=True)
+        yield ev.Fail(event.id, "the id is in use or may have run", duplicate=True)
         return
-    if once and state.idempotency_store.full:
+    if key and state.idempotency_store.full:
         state.statistics.count(event.class_name, "deferred")
         yield ev.Refuse(
-            event.id, permitted_retry_after(state, timedelta(seconds=1)), "the ledger of ids is full"
+            event.id, permitted_retry_after(state, timedelta(seconds=1)), "the idempotency store is full"
         )
         return
-    if once:
-        state.idempotency_store.start(once)
-    told = state.settings
-    cls = next((each for each in told.classes if each.name == event.class_name), None)
-    state.requests[event.id] = Request(event, now, now + event.time_left, told.max_attempts, cls)
+    if key:
+        state.idempotency_store.start(key)
+    current = state.settings
+    class_settings = next((each for each in current.classes if each.name == event.class_name), None)
+    state.requests[event.id] = Request(
+        event, now, now + event.time_left, current.max_attempts, class_settings
+    )
     yield ev.SetTimer(now + event.time_left + DEADLINE_GRACE, (event.id, None, now))
     yield from run_module(
         state,
@@ -241,17 +238,17 @@
 def on_client_disconnected(
     state: ConductorState, now: timedelta, event: ev.ClientDisconnected
 ) -> Iterator[ev.Effect]:
-    """Owe nothing to a client that is gone, and end what is out for it, a stream too."""
+    """End a request whose client has disconnected, including a running stream, without an answer."""
     if request := state.requests.get(event.id):
         request.answer_pending = False
         yield from end_request(state, now, request)
 
 
 def end_request(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
-    """Decide nothing more for a request, and give up what is out for it."""
-    told = not request.closed
+    """Close a request and abandon its attempts in flight."""
+    was_open = not request.closed
     request.closed = True
-    if told:
+    if was_open:
         yield from run_module(state, now, api.ClientDisconnected(request.received.id))
     for index in range(len(request.attempts)):
         yield from abandon(request, index, Status.CANCELLED)
@@ -261,7 +258,7 @@
 def on_response_started(
     state: ConductorState, now: timedelta, event: ev.ResponseStarted
 ) -> Iterator[ev.Effect]:
-    """Bind the answer to the client: the deadline runs no more from here on."""
+    """Commit the request to this attempt; its deadline no longer applies."""
     request = state.requests.get(event.id)
     if request is None or request.closed:
         return
@@ -274,7 +271,7 @@
 
 
 def on_attempt_ended(state: ConductorState, now: timedelta, event: ev.AttemptEnded) -> Iterator[ev.Effect]:
-    """Book an attempt as over and let the module go on."""
+    """Record the end of an attempt and pass its outcome to the decision module."""
     request = state.requests.get(event.id)
     if request is None or request.attempts[event.attempt].ended:
         return
@@ -299,7 +296,7 @@
             request.repeat_until = attempt.sent_at + to_timedelta(request.class_settings.window)
     yield from release_overdue(state, now, request)
     if not request.response_started and status is not Status.CONNECT_FAILED:
-        yield from note_leftovers(state, now, request, attempt, status)
+        yield from track_held_state(state, now, request, attempt, status)
     yield from run_module(
         state,
         now,
@@ -320,7 +317,9 @@
 def on_reservation_finished(
     state: ConductorState, now: timedelta, event: ev.ReservationFinished
 ) -> Iterator[ev.Effect]:
-    """Tell the module of a place while the read is out; one that may be held unknown is let go at the end."""
+    """Pass the result of a reservation to the decision module while its read is in flight.
+
+    A reservation that may exist without our knowledge is released at the end."""
     request = state.requests.get(event.id)
     if request is None:
         return
@@ -328,8 +327,9 @@
     request.interrupted = request.interrupted or event.reserved is None
     attempt = request.attempts[event.attempt]
     if event.reserved is None and not event.unanswered and not attempt.ended and not request.closed:
-        # The endpoint knew of no read: ours has not arrived, or arrived behind. If it is not over by the time
-        # that a place may be held, it may not have arrived at all, and what has not arrived stops no clock.
+        # The endpoint didn't know the read: it has not arrived, or arrived after the reservation call. If it
+        # is still in flight when the hold limit is near, it may never have arrived, and nothing but a release
+        # of our own would end the reservation in time.
         yield ev.SetTimer(
             now + state.reservation_release_delay(),
             ReservationTimer(request.received.id, event.attempt, request.received_at),
@@ -346,7 +346,7 @@
 
 
 def on_probe_finished(state: ConductorState, now: timedelta, event: ev.ProbeFinished) -> Iterator[ev.Effect]:
-    """Tell the module whether an endpoint has shown a sign of life."""
+    """Pass the result of a health probe to the decision module."""
     if event.server in state.fleet:
         yield from run_module(
             state, now, api.ProbeResult(event.server, event.status, to_ns(event.duration), event.load)
@@ -354,7 +354,9 @@
 
 
 def on_timer_fired(state: ConductorState, now: timedelta, event: ev.TimerFired) -> Iterator[ev.Effect]:
-    """Fire the module's timer, or one of ours: an attempt's time-out or the client's deadline."""
+    """Handle a timer of the decision module (an int), or one of the core.
+
+    Those of the core are the timer classes above, or tuples: an attempt's timeout, the client's deadline."""
     if isinstance(event.timer, int):
         yield from run_module(state, now, api.TimerFired(event.timer))
         return
@@ -364,19 +366,21 @@
         return
     if isinstance(event.timer, ReservationTimer):
         request = state.requests.get(event.timer.id)
-        waits = request is not None and request.received_at == event.timer.received_at and not request.closed
-        if waits and not request.attempts[event.timer.attempt].ended:
+        still_open = (
+            request is not None and request.received_at == event.timer.received_at and not request.closed
+        )
+        if still_open and not request.attempts[event.timer.attempt].ended:
             yield build_release(state, request)
         return
     id, attempt, received_at = event.timer
     request = state.requests.get(id)
-    # Guards against a timer of an earlier request with the same id, which would end this one.
+    # A timer of an earlier request with the same id must not end this one.
     if request is None or request.response_started or request.received_at != received_at:
         return
     if attempt is not None:
         yield from abandon(request, attempt, Status.TIMEOUT)
     elif not request.closed:
-        # Guards against a module that forgets a request: its time-outs come first, so this is the last word.
+        # The decision module's own timeouts fire earlier; this one is for a request that it lost track of.
         for index in range(len(request.attempts)):
             yield from abandon(request, index, Status.TIMEOUT)
         yield from fail(state, now, api.Fail(id))
@@ -386,11 +390,11 @@
 def on_endpoints_updated(
     state: ConductorState, now: timedelta, event: ev.EndpointsUpdated
 ) -> Iterator[ev.Effect]:
-    """Bring the fleet level. An endpoint of a kind that the settings do not name is left out."""
+    """Update the fleet from an endpoint list. Endpoints of a kind that the settings lack are ignored."""
     kinds = {kind.name for kind in state.settings.kinds}
     known = {state.server_id(each.name): each for each in event.endpoints if each.kind in kinds}
-    kept = {state.server_ids.get(name) for name in event.unreadable} & set(state.fleet)
-    known = {**{server_id: state.fleet[server_id] for server_id in kept}, **known}
+    unchanged = {state.server_ids.get(name) for name in event.unreadable} & set(state.fleet)
+    known = {**{server_id: state.fleet[server_id] for server_id in unchanged}, **known}
     if event.complete:
         for server_id in set(state.fleet) - set(known):
             del state.fleet[server_id]
@@ -398,7 +402,7 @@
     for server_id, each in known.items():
         if each.state is api.State.GONE:
             del state.fleet[server_id]
-    # Guards against a table that grows with each endpoint that ever was; a name's number is the same again.
+    # Drop the ids of removed endpoints, else the table grows without bound; an id depends only on the name.
     state.server_ids = {each.name: server_id for server_id, each in state.fleet.items()}
     entries = tuple(
         api.ServerEntry(
@@ -414,12 +418,12 @@
 def on_settings_reloaded(
     state: ConductorState, now: timedelta, event: ev.SettingsReloaded
 ) -> Iterator[ev.Effect]:
-    """Put a new file's settings in force for requests from now on, or count it as turned down."""
+    """Apply reloaded settings to requests from now on, or count the file as invalid."""
     if event.settings is None:
         state.statistics.conf_invalid += 1
         return
     state.statistics.conf_loaded += 1
-    state.settings = replace(event.settings, kinds=state.settings.kinds)  # kinds wait for a start
+    state.settings = replace(event.settings, kinds=state.settings.kinds)  # new kinds need a restart
     retune(state.router, state.settings)
     yield ev.WriteLog("retuned", {"classes": [each.name for each in event.settings.classes]})
 
@@ -427,7 +431,7 @@
 def on_request_rejected_at_front(
     state: ConductorState, now: timedelta, event: ev.RequestRejectedAtFront
 ) -> Iterator[ev.Effect]:
-    """Count what a front answered by itself."""
+    """Count a request that the front answered itself."""
     state.statistics.count(event.class_name, "deferred" if event.refused else "errored")
     yield from ()
 
@@ -435,7 +439,7 @@
 def on_endpoint_reported_failing(
     state: ConductorState, now: timedelta, event: ev.EndpointReportedFailing
 ) -> Iterator[ev.Effect]:
-    """Let the module avoid an endpoint, as it does on a peer's word."""
+    """Pass the report to the decision module as a peer message, which makes it avoid the endpoint."""
     server_id = state.server_ids.get(event.endpoint)
     if server_id in state.fleet:
         yield from run_module(state, now, api.PeerMessage(0, Word(Symptom.DOWN, server_id).pack()))
@@ -444,9 +448,10 @@
 def on_request_interrupted(
     state: ConductorState, now: timedelta, event: ev.RequestInterrupted
 ) -> Iterator[ev.Effect]:
-    """End a request: a stream that has begun is broken off, for its client to go on elsewhere.
+    """End a request before SIGKILL would leave it without an answer.
 
-    Guards against requests that SIGKILL would leave without an answer: it comes with what is out."""
+    A running stream is cut off, and its client resumes elsewhere. Another request is answered at once, or,
+    where repeating it does harm, once its attempts have ended."""
     if request := state.requests.get(event.id):
         request.answer_pending = request.answer_pending or not (request.closed or request.response_started)
         yield from end_request(state, now, request)
@@ -472,7 +477,7 @@
 
 
 def send(state: ConductorState, now: timedelta, action: api.Send):
-    """Open an attempt; gives the outcome at once where it cannot be opened."""
+    """Start an attempt; returns its outcome at once if it can't be started."""
     request, endpoint = state.requests.get(action.request_id), state.fleet.get(action.server)
     if request is None:
         return []
@@ -492,16 +497,16 @@
     elif endpoint is None:
         status = Status.CONNECT_FAILED
     else:
-        patience = request.deadline - now
-        if action.timeout and (own := to_timedelta(action.timeout)) < patience:
-            patience = own
-            yield ev.SetTimer(now + own, (action.request_id, index, request.received_at))
+        time_left = request.deadline - now
+        if action.timeout and (attempt_timeout := to_timedelta(action.timeout)) < time_left:
+            time_left = attempt_timeout
+            yield ev.SetTimer(now + attempt_timeout, (action.request_id, index, request.received_at))
         is_read = role is api.Role.READ
         yield ev.Forward(
             action.request_id,
             index,
             endpoint,
-            patience,
+            time_left,
             is_read,
             not is_read and request.has_effect(api.Effect.UNSAFE),
             None if is_read else request.repeat_until,
@@ -511,8 +516,8 @@
     return [api.Outcome(action.request_id, index, action.server, status, 0, request.closed)]
 
 
-def hold(state: ConductorState, now: timedelta, action: api.Reserve) -> Iterator[ev.Effect]:
-    """Ask for a place during the read that is out."""
+def reserve(state: ConductorState, now: timedelta, action: api.Reserve) -> Iterator[ev.Effect]:
+    """Make a reservation during the read in flight."""
     request, endpoint = state.requests.get(action.request_id), state.fleet.get(action.server)
     if request is None or endpoint is None or not request.attempts or request.attempts[-1].ended:
         return
@@ -521,27 +526,27 @@
 
 
 def probe(state: ConductorState, now: timedelta, action: api.Probe) -> Iterator[ev.Effect]:
-    """Ask an endpoint that is still listed for a sign of life."""
+    """Probe an endpoint if it is still listed."""
     if endpoint := state.fleet.get(action.server):
         yield ev.Probe(action.server, endpoint)
 
 
 def release(state: ConductorState, now: timedelta, action: api.Release) -> Iterator[ev.Effect]:
-    """Let go of what is held. A stream that has begun has let go of all by itself."""
+    """Release held state. Once a response has started, the endpoints have released everything themselves."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.response_started:
         yield build_release(state, request)
 
 
 def cancel(state: ConductorState, now: timedelta, action: api.Cancel) -> Iterator[ev.Effect]:
-    """Give an attempt up, unless its stream has begun."""
+    """Abandon an attempt unless its response has started."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.attempts[action.attempt].response_started:
         yield from abandon(request, action.attempt, Status.CANCELLED)
 
 
 def refuse(state: ConductorState, now: timedelta, action: api.Refuse) -> Iterator[ev.Effect]:
-    """Give the final answer: refused."""
+    """Refuse a request as its final answer."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
@@ -549,21 +554,23 @@
         yield ev.Refuse(
             action.request_id,
             permitted_retry_after(state, to_timedelta(action.retry_after)),
-            "given up by the module",
+            "refused by the decision module",
         )
 
 
 def fail(state: ConductorState, now: timedelta, action: api.Fail) -> Iterator[ev.Effect]:
-    """Give the final answer: failed."""
+    """Fail a request as its final answer."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.closed:
         request.closed = True
         state.statistics.count(request.received.class_name, "errored")
-        yield ev.Fail(action.request_id, "it may have run and may not run again, or its time is over")
+        yield ev.Fail(
+            action.request_id, "the request may have run and must not be repeated, or its deadline has passed"
+        )
 
 
 ACTIONS: dict[type, Callable[..., Iterable[ev.Effect]]] = {
-    api.Reserve: hold,
+    api.Reserve: reserve,
     api.Probe: probe,
     api.Release: release,
     api.Cancel: cancel,
@@ -577,82 +584,90 @@
 # --- helpers
 
 
-def permitted_retry_after(state: ConductorState, pause: timedelta) -> timedelta | None:
-    """Give the pause that a refusal may tell its client, None where the settings allow none."""
-    return pause if state.settings.retry_after else None
+def permitted_retry_after(state: ConductorState, delay: timedelta) -> timedelta | None:
+    """Return the retry advice of a refusal, or None if the settings forbid any."""
+    return delay if state.settings.retry_after else None
 
 
 def abandon(request: Request, index: int, status: Status) -> Iterator[ev.Effect]:
-    """Close an attempt's connection; it counts as given up with this status."""
+    """Close an attempt's connection; the attempt then ends with this status."""
     attempt = request.attempts[index]
     if not attempt.ended and attempt.abandon_status is None:
         attempt.abandon_status = status
         yield ev.AbandonAttempt(request.received.id, index)
 
 
-def note_leftovers(
+def track_held_state(
     state: ConductorState, now: timedelta, request: Request, attempt: Attempt, status: Status
 ) -> Iterator[ev.Effect]:
-    """See to what an attempt that ended may have left. What a cut read left is of no use to anybody."""
+    """Track state that an ended attempt may have left; that of an interrupted read is released at once.
+
+    Nobody can use the state of an interrupted read."""
     if attempt.is_read and status in MAY_HAVE_RUN_STATUSES:
         request.held_since = now
         yield build_release(state, request)
     elif attempt.answered or request.held_since is None:
-        # Guards against a writer that never saw the request, as it was cut off: the older time goes on.
+        # Otherwise the writer may never have received the request, and the earlier hold time still applies.
         yield from start_hold_timer(state, now, request)
 
 
 def start_hold_timer(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
-    """Note that something may be held from now on."""
+    """Record that state may be held from now on, and set the timer for its release."""
     request.held_since = now
     yield ev.SetTimer(now + state.hold_limit(), HeldStateTimer(request.received.id, now))
 
 
 def release_overdue(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
-    """Let go of what has been held for as long as may be, though an attempt at a writer may be out.
+    """Release state held for the permitted time, even if an attempt at a writer is in flight.
 
-    Guards against writers that are cut off: no attempt reaches one, each looks as if it were out, and what
-    was read stays held meanwhile. What an attempt does wait for is not let go of by it, by the protocol; a
-    read waits for no place, so while one is out nothing is overdue."""
+    If writers are partitioned, attempts never reach them but seem to be in flight, and the state of the read
+    would stay held. By the protocol, a release doesn't drop state that an attempt is actually waiting for. A
+    read waits for no reservation, so nothing is overdue while one is in flight."""
     reading = any(attempt.is_read and not attempt.ended for attempt in request.attempts)
     if request.held_since is not None and now >= request.held_since + state.hold_limit() and not reading:
         yield build_release(state, request)
 
 
 def build_release(state: ConductorState, request: Request) -> ev.Release:
-    """Ask for a release, first at the endpoints that had part in the request and answered, then the last one.
+    """Build the release: first at endpoints of the request that answered, then at the last one tried.
 
-    Guards against asking one after the other of those that could not be reached, while the time runs."""
+    Endpoints that could not be reached are left out: trying each in turn would use up the time."""
     held_since, request.held_since = request.held_since, None
-    last = [attempt.server for attempt in request.attempts[-1:] if attempt.abandon_status]
+    last_abandoned = [attempt.server for attempt in request.attempts[-1:] if attempt.abandon_status]
     answered = [attempt.server for attempt in reversed(request.attempts) if attempt.answered]
-    endpoints = tuple(state.fleet[n] for n in dict.fromkeys([*answered, *last]) if n in state.fleet)
-    cut_off = any(each.is_read and each.abandon_status and not each.answered for each in request.attempts)
+    endpoints = tuple(state.fleet[n] for n in dict.fromkeys([*answered, *last_abandoned]) if n in state.fleet)
+    read_cut_off = any(
+        each.is_read and each.abandon_status and not each.answered for each in request.attempts
+    )
     return ev.Release(
         request.received.id,
         endpoints,
         INTERRUPTED_RELEASE_DELAY if request.interrupted else ev.ZERO,
         held_since,
-        cut_off,
+        read_cut_off,
     )
 
 
 def finish_request(state: ConductorState, now: timedelta, id: str) -> Iterator[ev.Effect]:
-    """Forget a request whose answer is given and that has nothing out any more.
+    """Remove a closed request that has nothing in flight, after giving a pending answer.
 
-    What is owed is given first. Guards against a refusal with anything out where repeats do harm, a read too:
-    only its end tells that it never ran."""
+    If repeating the request does harm, it is refused only once nothing is in flight, not even a read: only
+    then is it certain that it never ran."""
     request = state.requests.get(id)
     if request is None or not request.closed:
         return
-    out = any(not attempt.ended for attempt in request.attempts)
-    if request.answer_pending and (request.repeatable or not out):
+    in_flight = any(not attempt.ended for attempt in request.attempts)
+    if request.answer_pending and (request.repeatable or not in_flight):
         request.answer_pending = False
-        risky = not request.repeatable and request.may_have_run
-        state.statistics.count(request.received.class_name, "errored" if risky else "deferred")
-        why = "the conductor ends"
-        yield ev.Fail(id, why) if risky else ev.Refuse(id, permitted_retry_after(state, ev.ZERO), why)
-    if out or request.pending_reservations:
+        may_not_repeat = not request.repeatable and request.may_have_run
+        state.statistics.count(request.received.class_name, "errored" if may_not_repeat else "deferred")
+        reason = "the conductor is shutting down"
+        yield (
+            ev.Fail(id, reason)
+            if may_not_repeat
+            else ev.Refuse(id, permitted_retry_after(state, ev.ZERO), reason)
+        )
+    if in_flight or request.pending_reservations:
         return
     del state.requests[id]
     if request.received.idempotency_key:
