--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""What may be sent, repeated, started and closed, and a request's life under random interleavings."""
+"""Checks of what may be sent, repeated, accepted and closed, and requests under random interleavings."""
 
 from dataclasses import replace
 from datetime import timedelta
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from test_core import Core
+from test_reducer import ReducerHarness
 
 from hoplane.core import events as ev
 from hoplane.core import permits
@@ -31,43 +31,43 @@
         ({"read_in_flight": True, "deadline": None, "repeat_until": None}, None),
     ],
 )
-def test_a_send_needs_a_client_a_time_a_window_and_an_endpoint(change, denial):
+def test_send_conditions(change, denial):
     assert permits.may_send(replace(GOOD, **change)) is denial
 
 
-def test_a_repeat_a_start_and_a_close_need_their_own():
+def test_repeat_accept_and_close_conditions():
     assert permits.may_repeat(RepeatConditions(False, True, 1, 4)) is Denial.NOT_REPEATABLE
     assert permits.may_repeat(RepeatConditions(True, True, 4, 4)) is Denial.ATTEMPTS_USED
     assert permits.may_repeat(RepeatConditions(True, True, 3, 4)) is None
     assert [permits.may_accept(phase) for phase in Phase] == [None, None, None, Denial.STOPPING]
-    rests = {
+    closable = {
         "request_in_progress": False,
         "unread_bytes": False,
         "age": 1.0,
         "served": True,
         "initial_grace": 0.3,
     }
-    assert permits.may_close(**rests) is None
-    assert permits.may_close(**{**rests, "unread_bytes": True}) is Denial.REQUEST_PENDING
-    assert permits.may_close(**{**rests, "request_in_progress": True}) is Denial.REQUEST_PENDING
-    assert permits.may_close(**{**rests, "served": False, "age": 0.0}) is Denial.CONNECTION_NEW
-
-
-def test_the_checks_count_an_answer_that_is_late_missing_or_the_second():
-    checks = Invariants()
-    checks.request_received("a", SECOND)
-    assert checks.final_answer_given("a", SECOND + MAX_LATENESS) is None
-    assert checks.final_answer_given("a", SECOND) is Violation.ANSWERED_TWICE
-    checks.request_received("b", SECOND)
-    assert checks.final_answer_given("b", SECOND + 2 * MAX_LATENESS) is Violation.ANSWERED_LATE
-    checks.request_received("c", SECOND)
-    checks.response_started("c")
-    assert checks.final_answer_given("c", 100 * SECOND) is None
-    checks.request_received("d", SECOND)
-    checks.client_disconnected("d")
-    assert checks.handler_ended("d") is None
-    checks.request_received("e", SECOND)
-    assert checks.handler_ended("e") is Violation.ENDED_UNANSWERED and checks.total == 3
+    assert permits.may_close(**closable) is None
+    assert permits.may_close(**{**closable, "unread_bytes": True}) is Denial.REQUEST_PENDING
+    assert permits.may_close(**{**closable, "request_in_progress": True}) is Denial.REQUEST_PENDING
+    assert permits.may_close(**{**closable, "served": False, "age": 0.0}) is Denial.CONNECTION_NEW
+
+
+def test_invariants_count_late_missing_and_duplicate_answers():
+    invariants = Invariants()
+    invariants.request_received("a", SECOND)
+    assert invariants.final_answer_given("a", SECOND + MAX_LATENESS) is None
+    assert invariants.final_answer_given("a", SECOND) is Violation.ANSWERED_TWICE
+    invariants.request_received("b", SECOND)
+    assert invariants.final_answer_given("b", SECOND + 2 * MAX_LATENESS) is Violation.ANSWERED_LATE
+    invariants.request_received("c", SECOND)
+    invariants.response_started("c")
+    assert invariants.final_answer_given("c", 100 * SECOND) is None
+    invariants.request_received("d", SECOND)
+    invariants.client_disconnected("d")
+    assert invariants.handler_ended("d") is None
+    invariants.request_received("e", SECOND)
+    assert invariants.handler_ended("e") is Violation.ENDED_UNANSWERED and invariants.total == 3
 
 
 ENDS = st.sampled_from([each for each in Status if each is not Status.MOOT])
@@ -82,25 +82,33 @@
 )
 
 
-class Life:
-    """One request at the reducer, whose effects are followed as the runtime would perform them."""
+class RequestLife:
+    """One request at the reducer, whose effects are performed like in the runtime."""
 
     def __init__(self, effect):
         name = "once" if effect == "once" else "safe"
-        self.core, self.open, self.holds, self.answers, self.gone = Core(), set(), [], 0, False
+        self.harness, self.open_attempts, self.reservations, self.answers, self.client_gone = (
+            ReducerHarness(),
+            set(),
+            [],
+            0,
+            False,
+        )
         self.writes = 0
-        self.follow(self.core.ask(cls=name))
+        self.perform(self.harness.submit(cls=name))
 
-    def follow(self, effects):
+    def perform(self, effects):
         for each in effects:
             if isinstance(each, ev.Forward):
-                assert not self.answers and not self.gone, "nothing goes for what has ended"
-                allowed = self.core.state.may_send(each, self.core.now, False, None)
-                assert allowed is None, "what is decided on may go in that moment"
-                self.open.add(each.attempt)
+                assert not self.answers and not self.client_gone, (
+                    "nothing is sent for a request that has ended"
+                )
+                allowed = self.harness.state.may_send(each, self.harness.now, False, None)
+                assert allowed is None, "an attempt may be sent at the moment of the decision"
+                self.open_attempts.add(each.attempt)
                 self.writes += not each.is_read
             elif isinstance(each, ev.Reserve):
-                self.holds.append(each.attempt)
+                self.reservations.append(each.attempt)
             elif isinstance(each, ev.Refuse | ev.Fail):
                 self.answers += 1
             elif isinstance(each, ev.SetTimer) and isinstance(each.timer, tuple) and each.timer[1] is None:
@@ -108,46 +116,53 @@
 
     def step(self, kind, which, status, wait):
         after = timedelta(milliseconds=wait)
-        request = self.core.state.requests.get("q")
-        if kind == "end" and which in self.open:
-            self.open.discard(which)
+        request = self.harness.state.requests.get("q")
+        if kind == "end" and which in self.open_attempts:
+            self.open_attempts.discard(which)
             attempt = request and request.attempts[which]
             if status is Status.OK and not (attempt and attempt.response_started):
-                status = Status.ERROR  # the runtime tells of an answer's begin before its end
+                status = Status.ERROR  # the runtime reports the start of a response before its end
             elif status is Status.MISS and not (attempt and attempt.is_read):
                 status = Status.FULL
-            self.follow(self.core.do(ev.AttemptEnded("q", which, status), after))
-        elif kind == "hold" and self.holds:
-            self.follow(
-                self.core.do(ev.ReservationFinished("q", self.holds.pop(), (True, False, None)[which % 3]))
+            self.perform(self.harness.apply(ev.AttemptEnded("q", which, status), after))
+        elif kind == "hold" and self.reservations:
+            self.perform(
+                self.harness.apply(
+                    ev.ReservationFinished("q", self.reservations.pop(), (True, False, None)[which % 3])
+                )
             )
-        elif kind == "begin" and which in self.open and request and not request.attempts[which].is_read:
-            begun = request.response_started or request.closed
-            self.follow(self.core.do(ev.ResponseStarted("q", which), after))
-            self.answers += not begun
+        elif (
+            kind == "begin"
+            and which in self.open_attempts
+            and request
+            and not request.attempts[which].is_read
+        ):
+            had_response = request.response_started or request.closed
+            self.perform(self.harness.apply(ev.ResponseStarted("q", which), after))
+            self.answers += not had_response
         elif kind == "left" and not self.answers:
-            self.gone = True
-            self.follow(self.core.do(ev.ClientDisconnected("q"), after))
+            self.client_gone = True
+            self.perform(self.harness.apply(ev.ClientDisconnected("q"), after))
         elif kind == "drain":
-            listed = list(self.core.state.fleet.values())[which % 3 :][:1]
+            listed = list(self.harness.state.fleet.values())[which % 3 :][:1]
             drained = tuple(replace(each, state=State.DRAINING) for each in listed)
-            self.follow(self.core.do(ev.EndpointsUpdated(drained, False), after))
+            self.perform(self.harness.apply(ev.EndpointsUpdated(drained, False), after))
         elif kind == "close":
-            self.follow(self.core.do(ev.RequestInterrupted("q"), after))
+            self.perform(self.harness.apply(ev.RequestInterrupted("q"), after))
 
 
 @given(st.sampled_from(["safe", "once"]), STEPS)
-def test_any_interleaving_ends_a_request_with_one_answer_and_nothing_kept(effect, steps):
-    """Its attempts end, its client leaves, its endpoints drain and its time is over, in any order."""
-    life = Life(effect)
+def test_any_interleaving_ends_with_one_answer_and_no_state_left(effect, steps):
+    """Attempts end, the client disconnects, endpoints drain and the deadline passes, in any order."""
+    life = RequestLife(effect)
     for step in steps:
         life.step(*step)
-    life.follow(life.core.do(ev.TimerFired(life.deadline.timer), 5 * SECOND))
+    life.perform(life.harness.apply(ev.TimerFired(life.deadline.timer), 5 * SECOND))
     for _ in range(20):
-        for attempt in sorted(life.open):
-            life.open.discard(attempt)
-            life.follow(life.core.do(ev.AttemptEnded("q", attempt, Status.CANCELLED)))
-        while life.holds:
-            life.follow(life.core.do(ev.ReservationFinished("q", life.holds.pop(), None)))
-    assert life.answers + life.gone == 1
-    assert not life.core.state.requests and life.core.state.invariants.total == 0
+        for attempt in sorted(life.open_attempts):
+            life.open_attempts.discard(attempt)
+            life.perform(life.harness.apply(ev.AttemptEnded("q", attempt, Status.CANCELLED)))
+        while life.reservations:
+            life.perform(life.harness.apply(ev.ReservationFinished("q", life.reservations.pop(), None)))
+    assert life.answers + life.client_gone == 1
+    assert not life.harness.state.requests and life.harness.state.invariants.total == 0
--- a/tests/test_retune.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Retuning at SIGHUP: new classes for new requests, old rules for open ones, bad files turned down whole."""
+"""Settings reload on SIGHUP: new classes for new requests, old ones for open requests, bad files rejected."""
 
 import asyncio
 import copy
@@ -7,29 +7,29 @@
 
 import pytest
 from standins import SETTINGS, chat
-from test_core import SETTINGS as CORE_SETTINGS
-from test_core import Core
 from test_operator import call, operator_address
 from test_platform import desk, hang, run
+from test_reducer import SETTINGS as CORE_SETTINGS
+from test_reducer import ReducerHarness
 
 from hoplane.core import events as ev
 from hoplane.decision import interface as api
 
 
-def settings(**lanes_and_allowed):
-    told = copy.deepcopy(SETTINGS)
-    told.update(lanes_and_allowed)
-    return told
+def settings(**changes):
+    changed = copy.deepcopy(SETTINGS)
+    changed.update(changes)
+    return changed
 
 
 FRESH = {"name": "fresh", "target": 1000000000, "hard_limit": 4000000000, "idempotency": "pure"}
 
 
-async def figures(address):
+async def statistics(address):
     return json.loads((await call(address, b"DUMP\r\n"))[0])
 
 
-def test_a_new_class_is_served_after_a_reload_and_a_dropped_one_is_not(tmp_path):
+def test_reload_adds_new_classes_and_drops_removed_ones(tmp_path):
     async def test():
         address = operator_address()
         async with desk(tmp_path, operator=address) as program:
@@ -39,23 +39,23 @@
             assert first.startswith("HTTP/1.1 200")
             first, _, _ = await program.ask(chat(id="n2", cls="lookup"))
             assert first.startswith("HTTP/1.1 400")
-            told = await figures(address)
-            assert told["conf_loaded"] == 1 and told["conf_invalid"] == 0
-            assert told["transactions"]["fresh"]["answered"] == 1
+            counts = await statistics(address)
+            assert counts["conf_loaded"] == 1 and counts["conf_invalid"] == 0
+            assert counts["transactions"]["fresh"]["answered"] == 1
             assert await program.stop() == 0
 
     run(test())
 
 
-def bad_files(told):
-    """Give files that must be turned down whole, with the key that each error names."""
+def bad_files(valid):
+    """Yield files that must be rejected as a whole, with the key that each error names."""
 
     def changed(change):
-        new = copy.deepcopy(told)
+        new = copy.deepcopy(valid)
         change(new)
         return json.dumps(new)
 
-    whole = json.dumps(told)
+    whole = json.dumps(valid)
     lane = {**SETTINGS["lanes"][0]}
     yield "", "EDGE_CONFIG"
     yield whole[: len(whole) // 2], "EDGE_CONFIG"
@@ -77,7 +77,7 @@
         yield changed(attempts), "settings.allowed.attempts_cap"
 
 
-def test_each_kind_of_bad_file_is_turned_down_whole_named_and_counted(tmp_path):
+def test_bad_files_are_rejected_logged_and_counted(tmp_path):
     async def test():
         address = operator_address()
         async with desk(tmp_path, operator=address) as program:
@@ -86,35 +86,37 @@
                 program.reload(text)
                 error = (await program.line("reload_failed"))["error"]
                 assert key in error, (text[:80], error)
-                assert (await figures(address))["conf_invalid"] == number
+                assert (await statistics(address))["conf_invalid"] == number
             first, _, _ = await program.ask(chat(id="still"))
-            assert first.startswith("HTTP/1.1 200"), "the settings in force stay"
-            assert (await figures(address))["conf_loaded"] == 0
+            assert first.startswith("HTTP/1.1 200"), "the current settings stay"
+            assert (await statistics(address))["conf_loaded"] == 0
             assert await program.stop() == 0
 
     run(test())
 
 
-def test_a_request_open_at_a_reload_keeps_its_class_and_attempts():
-    core = Core()
-    core.ask("old", cls="once")
+def test_request_open_during_a_reload_keeps_its_class_and_attempt_limit():
+    harness = ReducerHarness()
+    harness.submit("old", cls="once")
     retuned = replace(
         CORE_SETTINGS,
         max_attempts=2,
         classes=tuple(replace(each, effect=api.Effect.SAFE) for each in CORE_SETTINGS.classes),
     )
-    core.do(ev.SettingsReloaded(retuned))
-    assert core.state.statistics.conf_loaded == 1
-    forward = core.read("old")
-    assert forward.at_most_once, "a booking taken before stays a booking"
-    core.ask("new", cls="once")
-    assert not core.read("new").at_most_once, "one taken after has the new effect"
-    assert core.state.requests["new"].max_attempts == 2 and core.state.requests["old"].max_attempts is None
-    assert core.state.router.jobs["new"].cap == 2 and core.state.router.jobs["old"].cap is None
+    harness.apply(ev.SettingsReloaded(retuned))
+    assert harness.state.statistics.conf_loaded == 1
+    forward = harness.finish_read("old")
+    assert forward.at_most_once, "a request from before the reload must still run at most once"
+    harness.submit("new", cls="once")
+    assert not harness.finish_read("new").at_most_once, "a later request has the new effect"
+    assert (
+        harness.state.requests["new"].max_attempts == 2 and harness.state.requests["old"].max_attempts is None
+    )
+    assert harness.state.router.jobs["new"].cap == 2 and harness.state.router.jobs["old"].cap is None
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
-def test_a_stream_open_at_a_reload_goes_on(tmp_path, reload_first):
+def test_request_open_during_a_reload_keeps_its_deadline(tmp_path, reload_first):
     async def test():
         async with desk(tmp_path, write=hang) as program:
             reader, writer = await program.connect()
@@ -123,6 +125,6 @@
             program.reload(settings=settings(lanes=[FRESH]) if reload_first else program.told["settings"])
             await program.line("retuned")
             first = (await asyncio.wait_for(reader.readline(), 5)).decode()
-            assert first.split()[1] in ("502", "503"), "its own deadline ends it, as before"
+            assert first.split()[1] in ("502", "503"), "its own deadline ends it"
 
     run(test())
