--- a/tests/test_incident.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,6 @@
-"""Issue 28 on the real program: what was given up never arrives; no call that fails costs a request."""
+"""Partitions and failing system calls with the real program (issue 28).
+
+Abandoned requests must never arrive later, and a failed system call must not fail a request."""
 
 import asyncio
 import json
@@ -17,8 +19,8 @@
 
 
 @asynccontextmanager
-async def partitioned(tmp_path, read=read_it, write=write_it, **how):
-    """Give the program with a path to each endpoint that can be cut, both warmed up by one request."""
+async def partitioned(tmp_path, read=read_it, write=write_it, **options):
+    """Run the program with a partitionable path to each endpoint, both used by one request before."""
     async with (
         Server(read) as reader,
         Server(write) as writer,
@@ -26,15 +28,15 @@
         Partition(writer.address) as to_writer,
     ):
         entries = [entry("r1", to_reader.address, "prefill"), entry("w1", to_writer.address, "decode")]
-        async with platform(tmp_path, entries, **how) as program:
+        async with platform(tmp_path, entries, **options) as program:
             program.servers, program.paths = (reader, writer), (to_reader, to_writer)
             assert (await program.ask(chat("warm")))[0].startswith("HTTP/1.1 200")
             await asyncio.sleep(0.1)
             yield program
 
 
-def arrived(program, id):
-    """Give what arrived for a request, releases aside."""
+def arrived_calls(program, id):
+    """Return the calls of a request that arrived at endpoints, except releases."""
     calls = [call for server in program.servers for call in server.calls]
     return [
         call[0]
@@ -44,14 +46,14 @@
     ]
 
 
-async def leave(program):
+async def disconnect(program):
     _, writer = await program.connect()
     writer.write(chat("q"))
     await asyncio.sleep(0.3)
     writer.close()
 
 
-async def run_out_of_time(program):
+async def pass_the_deadline(program):
     assert (await program.ask(chat("q", left=600)))[0].split()[1] in ("502", "503")
 
 
@@ -63,32 +65,32 @@
     await program.process.wait()
 
 
-@pytest.mark.parametrize("give_up", [leave, run_out_of_time, kill])
-def test_what_was_given_up_behind_a_partition_never_arrives(tmp_path, give_up):
-    """Both endpoints are cut off with connections open; the request is given up; then the paths heal."""
+@pytest.mark.parametrize("abandon", [disconnect, pass_the_deadline, kill])
+def test_abandoned_requests_behind_a_partition_never_arrive(tmp_path, abandon):
+    """Both endpoints are partitioned with open connections, the request is abandoned, and the paths heal."""
 
     async def test():
         async with partitioned(tmp_path) as program:
             for path in program.paths:
                 path.cut()
-            await give_up(program)
+            await abandon(program)
             await asyncio.sleep(0.5)
             for path in program.paths:
                 path.heal()
             await asyncio.sleep(0.5)
-            assert arrived(program, "q") == []
+            assert arrived_calls(program, "q") == []
 
     asyncio.run(within(test(), 60))
 
 
-def test_a_log_that_cannot_be_written_costs_no_request_and_no_drain(tmp_path):
-    """Standard error is on a full device once it runs; a list, an unreadable answer, a stop come."""
+def test_unwritable_log_affects_neither_requests_nor_drains(tmp_path):
+    """Standard error goes to a full device; then a malformed response, a list and a stop cause log lines."""
 
     async def test():
-        bad = asyncio.Event()
+        malformed = asyncio.Event()
 
         async def read(call, writer):
-            if bad.is_set() and call[0].startswith("POST /v1/chat"):
+            if malformed.is_set() and call[0].startswith("POST /v1/chat"):
                 writer.write(b"no head at all\r\n\r\n")
                 writer.close()
                 return
@@ -103,54 +105,54 @@
         async with Server(read) as reader, Server(write_it) as writer, Server(read_it) as other:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=first) as program:
-                bad.set()
+                malformed.set()
                 assert (await program.ask(chat("q")))[0].split()[1] in ("502", "503")
-                new = [
+                updated = [
                     {**entries[0], "status": "Terminating"},
                     entries[1],
                     entry("r2", other.address, "prefill"),
                 ]
-                await program.discovery.tell(new)
+                await program.discovery.tell(updated)
                 await asyncio.sleep(0.5)
                 before = len(reader.named("POST /v1/chat"))
                 assert (await program.ask(chat("r")))[0].split()[1] == "200"
-                assert len(reader.named("POST /v1/chat")) == before, "it drains"
+                assert len(reader.named("POST /v1/chat")) == before, "the reader is draining"
                 assert await program.stop() == 0
 
     asyncio.run(within(test(), 60))
 
 
-def injecting(*faults, seed=1):
+def inject(*faults, seed=1):
     plan = json.dumps({"seed": seed, "faults": faults})
     return f"import json; from hoplane.lab import faults; faults.install(json.loads({plan!r}))"
 
 
 @pytest.mark.parametrize("code", ["ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED", "EPROTO", "EPERM"])
-def test_accept_that_fails_for_a_moment_delays_nobody_and_loses_nobody(tmp_path, code):
-    """Clients that come while it fails have an answer within their time, also as a stop comes meanwhile."""
+def test_temporary_accept_errors_neither_delay_nor_lose_clients(tmp_path, code):
+    """Clients that connect while accept fails are answered before their deadline, also during a shutdown."""
 
     async def test():
         async with Server(read_it) as reader, Server(write_it) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
-            failing = injecting({"call": "accept", "errno": code, "share": 0.9})
-            async with platform(tmp_path, entries, first=failing) as program:
+            fault_setup = inject({"call": "accept", "errno": code, "share": 0.9})
+            async with platform(tmp_path, entries, first=fault_setup) as program:
                 loop = asyncio.get_running_loop()
                 for stop in (False, True):
                     asked = [asyncio.create_task(program.ask(chat(f"{stop}{n}"))) for n in range(5)]
                     if stop:
                         await asyncio.sleep(0.05)
                         program.process.terminate()
-                    begun = loop.time()
+                    started = loop.time()
                     answers = await asyncio.gather(*asked)
                     assert all(each and each[0].split()[1] in ("200", "503") for each in answers), answers
-                    assert stop or loop.time() - begun < 4, "within the time that the clients have"
+                    assert stop or loop.time() - started < 4, "before the clients' deadline"
                 assert await within(program.process.wait()) == 0
 
     asyncio.run(within(test(), 60))
 
 
-def test_a_place_that_may_be_held_for_a_read_that_has_not_arrived_is_released_while_it_is_awaited(tmp_path):
-    """The read's path is silent; the writer knows of no read, and may hold a place all the same."""
+def test_reservation_for_a_read_that_has_not_arrived_is_released_before_the_request_ends(tmp_path):
+    """The reader is partitioned; the writer doesn't know the read, but may hold a reservation for it."""
 
     async def write(call, writer):
         if call[0].startswith("POST /v1/holds/q"):
@@ -165,17 +167,17 @@
             client.write(chat("q"))
             (_, writer) = program.servers
             await writer.wait_for("POST /v1/holds/q")
-            begun = asyncio.get_running_loop().time()
+            started = asyncio.get_running_loop().time()
             await writer.wait_for("DELETE /v1/holds/q")
-            assert asyncio.get_running_loop().time() - begun < 3, "long before the request's own end"
+            assert asyncio.get_running_loop().time() - started < 3, "long before the end of the request"
             program.paths[0].heal()
             client.close()
 
     asyncio.run(within(test(), 60))
 
 
-def test_what_a_read_leaves_that_ends_after_its_release_is_released_again(tmp_path):
-    """A reader that is cut off hears of no close: its read may end well after the release."""
+def test_state_of_a_read_that_ends_after_its_release_is_released_again(tmp_path):
+    """A partitioned reader sees no close of the connection, so its read may complete after the release."""
 
     async def read(call, writer):
         if call[1].get("x-correlation-id") == "q":
@@ -189,23 +191,23 @@
             reader, writer = program.servers
             await reader.wait_for("POST /v1/chat", 2)
             client.close()
-            both = lambda: [*reader.named("DELETE /v1/holds/q"), *writer.named("DELETE /v1/holds/q")]  # noqa: E731
-            while len(both()) < 2:
+            releases = lambda: [*reader.named("DELETE /v1/holds/q"), *writer.named("DELETE /v1/holds/q")]  # noqa: E731
+            while len(releases()) < 2:
                 await asyncio.sleep(0.02)
             assert await program.stop() == 0
 
     asyncio.run(within(test(), 30))
 
 
-def test_a_start_and_a_reload_are_made_though_files_and_sockets_fail_for_a_moment(tmp_path):
-    """The file cannot be read and no socket is left at first; later a SIGHUP meets the same."""
+def test_start_and_reload_survive_temporary_file_and_socket_errors(tmp_path):
+    """Reading the file and creating sockets fail at first, at the start and again on SIGHUP."""
 
     async def test():
-        failing = injecting(
+        fault_setup = inject(
             {"call": "open", "errno": "EIO", "share": 0.7, "path": "config.json"},
             {"call": "socket", "errno": "ENFILE", "share": 0.7},
         )
-        async with platform(tmp_path, [], first=failing) as program:
+        async with platform(tmp_path, [], first=fault_setup) as program:
             program.reload()
             assert "watch" in await program.line("reloaded")
             assert await program.stop() == 0
@@ -223,34 +225,34 @@
         ({"faults": [{"call": "send", "share": -1}]}, "faults[0].share: must be a number"),
     ],
 )
-def test_a_plan_of_faults_that_is_wrong_is_named_with_status_2(tmp_path, plan, text):
+def test_invalid_fault_plan_is_reported_with_exit_status_2(tmp_path, plan, text):
     file = tmp_path / "plan.json"
     file.write_text(json.dumps(plan))
     with pytest.raises(faults.PlanError, match=re.escape(text)):
         faults.load_plan(file)
-    ended = CliRunner().invoke(lab, ["faulty", str(file)])
-    assert ended.exit_code == 2 and text in ended.output
+    result = CliRunner().invoke(lab, ["faulty", str(file)])
+    assert result.exit_code == 2 and text in result.output
 
 
-def test_the_time_told_is_what_is_left_of_a_request_that_waited_to_be_read(tmp_path):
-    """The process stands still for a second with two requests in the system, one on a new connection."""
+def test_time_left_header_accounts_for_time_before_the_request_was_read(tmp_path):
+    """The process is stopped for a second while two requests arrive, one of them on a new connection."""
 
     async def test():
         async with partitioned(tmp_path) as program:
-            _, kept = await program.connect()
-            kept.write(chat("one"))
+            _, reused = await program.connect()
+            reused.write(chat("one"))
             reader, _ = program.servers
             await reader.wait_for("POST /v1/chat", 2)
             await asyncio.sleep(0.3)
             program.process.send_signal(signal.SIGSTOP)
-            kept.write(chat("kept", left=4000))
-            _, new = await program.connect()
-            new.write(chat("new", left=4000))
+            reused.write(chat("kept", left=4000))
+            _, fresh = await program.connect()
+            fresh.write(chat("new", left=4000))
             await asyncio.sleep(1)
             program.process.send_signal(signal.SIGCONT)
             for call in (await reader.wait_for("POST /v1/chat", 4))[2:]:
-                assert 0 < int(call[1]["x-time-left-ms"]) <= 3050, "a second of it is over"
-            kept.close()
-            new.close()
+                assert 0 < int(call[1]["x-time-left-ms"]) <= 3050, "a second has passed"
+            reused.close()
+            fresh.close()
 
     asyncio.run(within(test(), 60))
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -1,4 +1,4 @@
-"""How often discovery is asked: one conductor's calls, and those of many together."""
+"""Pacing of discovery calls: of a single conductor, and of many conductors together."""
 
 import heapq
 import random
@@ -10,113 +10,110 @@
 from hoplane.core.pacing import MAX_BACKOFF, MAX_CALL_TIMEOUT, MAX_QUEUE_TIME, MAX_STALENESS, Pacing
 
 
-def asking(conductors, seed=1, position=0):
-    told = settings(must_subscribe=True, routers=conductors, position=position)
-    return Pacing(told, random.Random(seed))
+def polling_pacing(conductors, seed=1, position=0):
+    polled = settings(must_subscribe=True, routers=conductors, position=position)
+    return Pacing(polled, random.Random(seed))
 
 
-def test_a_lost_watch_is_asked_anew_at_once_where_few_ask_and_ever_more_seldom_if_it_stays_lost():
-    pacing = asking(4)
+def test_few_conductors_retry_a_lost_watch_at_once_and_back_off_if_it_stays_lost():
+    pacing = polling_pacing(4)
     assert pacing.next_call()[1] < timedelta(seconds=1.1)
-    assert pacing.failed(timed_out=False) < timedelta(milliseconds=200), "the watch still goes on"
+    assert pacing.failed(timed_out=False) < timedelta(milliseconds=200), "the watch survives the gap"
     later = [pacing.failed(timed_out=False) for _ in range(20)][-5:]
-    assert all(MAX_BACKOFF / 2 <= pause <= MAX_BACKOFF for pause in later)
+    assert all(MAX_BACKOFF / 2 <= backoff <= MAX_BACKOFF for backoff in later)
     pacing.succeeded()
     assert pacing.failed(timed_out=False) < timedelta(milliseconds=200)
 
 
-def test_one_of_many_waits_for_its_turn_and_comes_back_at_a_moment_of_its_own():
-    many = [asking(40, seed, position=seed) for seed in range(40)]
+def test_many_conductors_wait_in_the_queue_and_retry_one_after_the_other():
+    many = [polling_pacing(40, seed, position=seed) for seed in range(40)]
     assert {pacing.next_call()[1] for pacing in many} == {MAX_CALL_TIMEOUT}
-    pauses = [pacing.failed(timed_out=False) for pacing in many]
-    assert pauses == sorted(pauses), "one by one, by their numbers"
-    assert pauses[-1] - pauses[0] > timedelta(seconds=1.5), "as many turns as there are conductors"
+    backoffs = [pacing.failed(timed_out=False) for pacing in many]
+    assert backoffs == sorted(backoffs), "staggered by position"
+    assert backoffs[-1] - backoffs[0] > timedelta(seconds=1.5), "a service time for each conductor"
 
 
 @pytest.mark.parametrize("conductors", [1, 4, 40, 230, 1100])
-def test_whatever_becomes_of_calls_one_is_answered_before_what_there_is_counts_as_told(conductors):
-    """Calls are refused at once, turned away after their time in the queue, or silent, in any order.
+def test_a_call_is_answered_within_the_staleness_limit_whatever_happens_to_calls(conductors):
+    """Calls are refused at once, rejected after queueing, or time out, in any order.
 
-    Discovery may have something to tell from just after the last good call, or from just after any later one
-    on: then the next call that is not turned away has to be answered within six seconds of that."""
+    Discovery may have a change right after the last good call, or right after any later call. Then the next
+    call that is not rejected must be answered within six seconds of that."""
     for seed in range(100):
         rng = random.Random(seed)
-        pacing = asking(conductors, seed, position=rng.randrange(conductors))
+        pacing = polling_pacing(conductors, seed, position=rng.randrange(conductors))
         now, zero = timedelta(), timedelta()
         for _ in range(8):
             call = now
-            silent = rng.random() < 0.2
-            now += pacing.next_call()[1] if silent else rng.choice([zero, MAX_QUEUE_TIME])
-            unheard = now
-            pause = pacing.failed(silent, unheard)
-            if unheard < MAX_BACKOFF:
-                assert now + pause <= MAX_BACKOFF, "the next call still begins in time"
-            assert pause + MAX_QUEUE_TIME <= MAX_STALENESS, (
-                "and it does after each that was refused or turned away"
-            )
-            if silent:
-                assert now + pause + MAX_QUEUE_TIME <= call + MAX_STALENESS
-            now += pause
+            timed_out = rng.random() < 0.2
+            now += pacing.next_call()[1] if timed_out else rng.choice([zero, MAX_QUEUE_TIME])
+            since_success = now
+            backoff = pacing.failed(timed_out, since_success)
+            if since_success < MAX_BACKOFF:
+                assert now + backoff <= MAX_BACKOFF, "the next call still starts in time"
+            assert backoff + MAX_QUEUE_TIME <= MAX_STALENESS, "also after a refused or rejected call"
+            if timed_out:
+                assert now + backoff + MAX_QUEUE_TIME <= call + MAX_STALENESS
+            now += backoff
 
 
 @pytest.mark.parametrize("conductors", [1, 4, 230, 1100])
-def test_a_watch_that_fell_silent_is_heard_again_before_what_it_missed_counts_as_told(conductors):
+def test_lost_watch_is_replaced_within_the_staleness_limit(conductors):
     for seed in range(50):
-        pacing = asking(conductors, seed)
-        silent = pacing.next_call()[1]
-        for _ in range(8):  # in a row: the last answer came as the last watch fell silent
-            assert silent + pacing.failed(timed_out=True) + MAX_QUEUE_TIME <= MAX_STALENESS
-            silent = pacing.next_call()[1]
+        pacing = polling_pacing(conductors, seed)
+        call_timeout = pacing.next_call()[1]
+        for _ in range(8):  # in a row; the last answer came as the watch was lost
+            assert call_timeout + pacing.failed(timed_out=True) + MAX_QUEUE_TIME <= MAX_STALENESS
+            call_timeout = pacing.next_call()[1]
 
 
 @pytest.mark.parametrize("grace", [250 * MS, S, 4 * S])
 @pytest.mark.parametrize("conductors", [1, 4, 230, 1100])
-def test_what_an_agent_gets_is_met_in_half_the_grace_however_many_and_however_long_it_was_silent(
-    conductors, grace
-):
-    """The agent answers at once, but may be silent to a call that came before discovery's return."""
+def test_pushed_changes_are_received_within_half_the_drain_grace(conductors, grace):
+    """The agent answers at once, but may never answer a call from before discovery recovered."""
     for seed in range(50):
         pacing = Pacing(settings(routers=conductors, drain_grace=grace), random.Random(seed))
         assert pacing.next_call()[0] + pacing.next_call()[1] < timedelta(
             seconds=MAX_STALENESS.total_seconds() / 2
         )
         pacing.failed(timed_out=True)
-        for silent in (True, False) * 8:
-            _, cut_off = pacing.next_call()
-            met = cut_off + pacing.failed(silent)
-            assert met <= timedelta(microseconds=grace / 2000)
+        for last_timed_out in (True, False) * 8:
+            _, call_timeout = pacing.next_call()
+            received_after = call_timeout + pacing.failed(last_timed_out)
+            assert received_after <= timedelta(microseconds=grace / 2000)
 
 
-def overbooked(seed, conductors=40, a_second=5.0, queue=2.0, until=120.0):
-    """Let conductors ask a discovery that answers so many calls a second and turns away what would wait long.
+def simulate_overload(seed, conductors=40, rate=5.0, max_queue=2.0, until=120.0):
+    """Simulate conductors that call a discovery service of limited rate, which rejects calls that queue long.
 
-    Give when each had its answer, and how many calls there were. All begin together, as after a release."""
+    Returns the times of the answers and the number of calls. All start together, as after a mass restart."""
     random_starts = random.Random(seed)
     calls = [
-        (random_starts.uniform(0, 0.2), n, asking(conductors, seed * 1000 + n, n)) for n in range(conductors)
+        (random_starts.uniform(0, 0.2), n, polling_pacing(conductors, seed * 1000 + n, n))
+        for n in range(conductors)
     ]
     heapq.heapify(calls)
-    free, told, asked = 0.0, [], 0
+    free_at, answer_times, call_count = 0.0, [], 0
     while calls and calls[0][0] < until:
         now, n, pacing = heapq.heappop(calls)
-        asked += 1
-        wait, patience = max(0.0, free - now), pacing.next_call()[1].total_seconds()
-        silent = False
-        if wait <= queue:
-            free = max(free, now) + 1 / a_second
-            if wait + 1 / a_second <= patience:
-                told.append(now + wait + 1 / a_second)
+        call_count += 1
+        wait, call_timeout = max(0.0, free_at - now), pacing.next_call()[1].total_seconds()
+        timed_out = False
+        if wait <= max_queue:
+            free_at = max(free_at, now) + 1 / rate
+            if wait + 1 / rate <= call_timeout:
+                answer_times.append(now + wait + 1 / rate)
                 continue
-            now, silent = now + patience, True  # gave up, yet is served in vain
-        pause = pacing.failed(silent, timedelta(seconds=now))
-        heapq.heappush(calls, (now + pause.total_seconds(), n, pacing))
-    return told, asked
+            now, timed_out = now + call_timeout, True  # gave up, and is still served for nothing
+        backoff = pacing.failed(timed_out, timedelta(seconds=now))
+        heapq.heappush(calls, (now + backoff.total_seconds(), n, pacing))
+    return answer_times, call_count
 
 
-@pytest.mark.parametrize(("a_second", "all_by"), [(5.0, 11), (1.5, 31)])
-def test_an_overbooked_discovery_tells_all_that_come_back_at_once(a_second, all_by):
+@pytest.mark.parametrize(("rate", "all_by"), [(5.0, 11), (1.5, 31)])
+def test_overloaded_discovery_answers_all_conductors_that_restart_together(rate, all_by):
     for seed in range(20):
-        told, asked = overbooked(seed, a_second=a_second)
-        assert len(told) == 40
-        assert max(told) < all_by, "hardly more than if none asked twice: 8 and 26.7 s"
-        assert asked < 40 * (1 + max(told) / 2), "no conductor asks more than once in two seconds"
+        answer_times, call_count = simulate_overload(seed, rate=rate)
+        assert len(answer_times) == 40
+        assert max(answer_times) < all_by, "hardly more than the 8 and 26.7 s of one call each"
+        assert call_count < 40 * (1 + max(answer_times) / 2), "at most one call each in two seconds"
