--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -1,4 +1,4 @@
-"""What is held is let go of, and nothing new reaches an endpoint told to drain, whatever connections do."""
+"""Releases of held state, and checks before a send, with slow or failing connections."""
 
 import asyncio
 import errno
@@ -25,13 +25,15 @@
     return Endpoint(name, address, zone, "prefill", 0, State.LIVE)
 
 
-def test_a_release_asks_all_again_and_again_and_neighbours_lie_in_different_zones():
+def test_release_tries_all_endpoints_in_rounds_and_alternates_zones():
     fleet = [endpoint(f"{zone}{n}", zone) for zone in "abc" for n in range(40)]
-    asked = list(islice(release.candidate_endpoints("q", fleet[:1], fleet, "b"), 600))
-    assert asked[0] is fleet[0] and {each.name for each in asked[1:121]} == {each.name for each in fleet}
-    assert asked[1].zone == "b", "our own zone first"
-    for lost in "abc":  # 300 ms more than the settings say are four tries
-        assert all(any(each.zone != lost for each in asked[at : at + 2]) for at in range(1, 119))
+    candidates = list(islice(release.candidate_endpoints("q", fleet[:1], fleet, "b"), 600))
+    assert candidates[0] is fleet[0] and {each.name for each in candidates[1:121]} == {
+        each.name for each in fleet
+    }
+    assert candidates[1].zone == "b", "our own zone first"
+    for lost in "abc":  # the tolerance of 300 ms allows four calls
+        assert all(any(each.zone != lost for each in candidates[at : at + 2]) for at in range(1, 119))
     assert (
         len({next(islice(release.candidate_endpoints(f"q{n}", (), fleet, "b"), 1)).name for n in range(200)})
         > 30
@@ -40,33 +42,33 @@
     assert release.retry_delay(1) < release.retry_delay(3) < release.retry_delay(50) == release.HEDGE_DELAY
 
 
-@pytest.mark.parametrize("want", ["refused", "no socket"])
-def test_a_release_that_fails_everywhere_for_a_moment_is_tried_again(want):
+@pytest.mark.parametrize("failure", ["refused", "no socket"])
+def test_release_that_fails_at_all_endpoints_is_retried(failure):
     async def test():
         server, port = Server(let_go), free_port()
         there = SimpleNamespace(address=f"127.0.0.1:{port}")
         runtime, listener = start(there, there), None
         most = runtime.pool.most
-        if want == "no socket":
+        if failure == "no socket":
             runtime.pool.most = 0
             listener = await asyncio.start_server(server.serve, "127.0.0.1", port)
-        letting = asyncio.create_task(runtime.release(Release("q", tuple(runtime.state.fleet.values()))))
+        releasing = asyncio.create_task(runtime.release(Release("q", tuple(runtime.state.fleet.values()))))
         await asyncio.sleep(0.2)
-        assert not letting.done() and not server.calls
+        assert not releasing.done() and not server.calls
         runtime.pool.most = most
         listener = listener or await asyncio.start_server(server.serve, "127.0.0.1", port)
         await server.wait_for("DELETE /v1/holds/q")
-        await within(letting)
+        await within(releasing)
         listener.close()
         await runtime.pool.close()
 
     asyncio.run(test())
 
 
-def test_a_release_ends_once_an_answer_has_begun_with_which_all_is_let_go_of():
+def test_release_ends_once_a_response_has_started():
     async def test():
-        nobody = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
-        runtime = start(nobody, nobody)
+        unreachable = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
+        runtime = start(unreachable, unreachable)
         runtime.state.response_started = lambda id: True
         await within(runtime.release(Release("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
@@ -76,30 +78,30 @@
 
 @asynccontextmanager
 async def late_connections(read, address_of):
-    """A runtime with a request out, whose connections to one endpoint come up when the event is set."""
+    """Yield a runtime with a request in flight; connects to one endpoint complete once the event is set."""
     async with Server(read) as reader, Server(let_go) as writer:
-        runtime, up, told = start(reader, writer), asyncio.Event(), asyncio.Event()
+        runtime, connected, answered = start(reader, writer), asyncio.Event(), asyncio.Event()
         connect = runtime.pool.connector.connect
-        held_up = {"reader": reader, "writer": writer}[address_of].address
+        delayed = {"reader": reader, "writer": writer}[address_of].address
 
-        async def late(request, **more):
-            made = await connect(request, **more)
-            if held_up == f"{request.url.host}:{request.url.port}":
-                await up.wait()
-            return made
+        async def late(request, **options):
+            connection = await connect(request, **options)
+            if delayed == f"{request.url.host}:{request.url.port}":
+                await connected.wait()
+            return connection
 
         runtime.pool.connector.connect = late
         call = Call("POST", "/v1/chat/completions", {}, b"{}")
         runtime.exchanges["q"] = SimpleNamespace(
             gone=False,
             call=lambda forward: call,
-            refuse=lambda pause: told.set(),
-            fail=lambda clash: told.set(),
+            refuse=lambda retry_after: answered.set(),
+            fail=lambda duplicate: answered.set(),
             read_head=lambda *_: SimpleNamespace(status=None, load={}),
             told=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
         )
         runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
-        yield runtime, reader, writer, up, told
+        yield runtime, reader, writer, connected, answered
         runtime.feed(ClientDisconnected("q"))
         await within(runtime.rest())
         await runtime.pool.close()
@@ -115,29 +117,29 @@
     runtime.feed(read_list({"index": 2, "snapshot": False, "endpoints": entries}))
 
 
-def test_a_place_is_not_asked_for_at_a_writer_told_to_drain_while_its_connection_came_up():
+def test_no_reservation_at_a_writer_that_starts_draining_during_the_connect():
     async def test():
-        async with late_connections(never_read, "writer") as (runtime, reader, writer, up, _):
+        async with late_connections(never_read, "writer") as (runtime, reader, writer, connected, _):
             await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
             drain(runtime, "w1")
-            up.set()
+            connected.set()
             await asyncio.sleep(0.1)
-            assert not writer.named("POST"), "neither a place nor anything else"
+            assert not writer.named("POST"), "neither a reservation nor anything else"
 
     asyncio.run(test())
 
 
-def test_a_place_is_not_asked_for_after_the_read_has_ended():
-    """Nobody would take it, and it would be held until somebody found that out."""
+def test_no_reservation_after_the_read_has_ended():
+    """Nobody would use the reservation, and it would be held longer than necessary."""
 
     async def test():
-        async with late_connections(never_read, "writer") as (runtime, reader, writer, up, _):
+        async with late_connections(never_read, "writer") as (runtime, reader, writer, connected, _):
             await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
             runtime.feed(ClientDisconnected("q"))
             await within(reader.closed.get())
-            up.set()
+            connected.set()
             await within(runtime.rest())
             assert not writer.named("POST") and not runtime.state.requests
 
@@ -145,80 +147,80 @@
 
 
 @pytest.mark.parametrize("address_of", ["reader", "writer"])
-def test_nothing_goes_for_a_client_that_left_and_whose_end_waits_to_be_seen(address_of):
-    """A connection comes up, for a read or a place, as the client's end lies unread in the system."""
+def test_nothing_is_sent_for_a_client_whose_disconnect_was_not_read_yet(address_of):
+    """A connect for a read or a reservation completes before the event loop reads the client's disconnect."""
 
     async def test():
-        async with late_connections(never_read, address_of) as (runtime, reader, writer, up, _):
+        async with late_connections(never_read, address_of) as (runtime, reader, writer, connected, _):
             if address_of == "writer":
                 await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
             runtime.exchanges["q"].gone = True
-            up.set()
+            connected.set()
             while runtime.state.requests:
                 await asyncio.sleep(0.01)
-            held_up = {"reader": reader, "writer": writer}[address_of]
-            assert not held_up.named("POST") and not runtime.attempts
+            delayed = {"reader": reader, "writer": writer}[address_of]
+            assert not delayed.named("POST") and not runtime.attempts
 
     asyncio.run(within(test(), 20))
 
 
-def test_a_repeat_whose_connection_comes_up_too_late_is_not_sent():
+def test_repeat_is_not_sent_after_its_window():
     async def test():
-        async with late_connections(never_read, "reader") as (runtime, reader, writer, up, _):
-            ended, feed = [], runtime.feed
-            runtime.feed = lambda event: (ended.append(event), feed(event))
+        async with late_connections(never_read, "reader") as (runtime, reader, writer, connected, _):
+            events, feed = [], runtime.feed
+            runtime.feed = lambda event: (events.append(event), feed(event))
             (first,) = runtime.sent.values()
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
-            soon, later = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
-            for until, may in ((soon, False), (later, True), (None, True)):
+            past, future = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
+            for until, allowed in ((past, False), (future, True), (None, True)):
                 forward = Forward("q", 1, endpoint, timedelta(seconds=4), is_read=False, repeat_until=until)
-                assert runtime.sending(forward).may() is may
-            assert not first.is_set() and not any(isinstance(each, ClientDisconnected) for each in ended)
+                assert runtime.sending(forward).may() is allowed
+            assert not first.is_set() and not any(isinstance(each, ClientDisconnected) for each in events)
 
     asyncio.run(within(test(), 20))
 
 
-def test_an_attempt_whose_connection_comes_up_late_tells_the_time_that_is_left_then():
+def test_time_left_header_accounts_for_a_slow_connect():
     async def test():
-        async with late_connections(never_read, "reader") as (runtime, reader, _, up, _):
-            after = runtime.clock.now()
+        async with late_connections(never_read, "reader") as (runtime, reader, _, connected, _):
+            before = runtime.clock.now()
             await asyncio.sleep(0.1)
-            waited = runtime.clock.now() - after
-            up.set()
+            waited = runtime.clock.now() - before
+            connected.set()
             (call,) = await reader.wait_for("POST /v1/chat")
             assert 0 < float(call[1]["x-left"]) <= 4 - waited.total_seconds()
 
     asyncio.run(within(test(), 20))
 
 
-def test_an_attempt_whose_connection_comes_up_after_its_client_s_time_is_not_sent():
+def test_attempt_is_not_sent_after_the_deadline():
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
-            for patience, may in ((timedelta(), False), (timedelta(seconds=60), True)):
-                assert runtime.sending(Forward("q", 1, endpoint, patience, is_read=False)).may() is may
+            for time_left, allowed in ((timedelta(), False), (timedelta(seconds=60), True)):
+                assert runtime.sending(Forward("q", 1, endpoint, time_left, is_read=False)).may() is allowed
 
     asyncio.run(within(test(), 20))
 
 
-def test_the_last_byte_of_a_booking_stays_back_for_a_client_that_left_as_it_was_held():
+def test_last_byte_of_an_at_most_once_request_is_withheld_if_the_client_disconnects():
     async def test():
-        left, body = False, b"{}"
-        sent = Sending(lambda: not left)
+        client_gone, body = False, b"{}"
+        sent = Sending(lambda: not client_gone)
         pieces = Pool.held_back(body, sent)
         assert await anext(pieces) == b"{"
-        left = True
+        client_gone = True
         with pytest.raises(Drained):
             await anext(pieces)
-        assert not sent.is_set(), "it surely never ran"
+        assert not sent.is_set(), "the request certainly never ran"
 
     asyncio.run(test())
 
 
 @asynccontextmanager
 async def full_listener():
-    """A machine whose connections come up late: its accept queue is full until it is drained."""
+    """Yield a listener with a full accept queue, so that connects complete late, and the filling sockets."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -233,9 +235,9 @@
             each.close()
 
 
-def test_a_connection_that_comes_up_after_the_drain_was_told_carries_nothing(tmp_path):
-    """The real program: the reader's machine takes the connection a second late, its drain is told before."""
-    patient = {
+def test_nothing_is_sent_on_a_connection_that_completes_after_the_drain(tmp_path):
+    """With the real program: the reader starts draining while a connect to it takes a second."""
+    long_timeouts = {
         "allowed": {**SETTINGS["allowed"], "connect_timeout": 8 * 10**9},
         "lanes": [{**SETTINGS["lanes"][0], "target": 8 * 10**9, "hard_limit": 9 * 10**9}],
     }
@@ -246,42 +248,45 @@
                 entry("r1", "{}:{}".format(*listener.getsockname()), "prefill"),
                 entry("w1", writer.address, "decode"),
             ]
-            async with platform(tmp_path, entries, settings={**SETTINGS, **patient}) as program:
-                asked = asyncio.create_task(program.ask(chat(left=9000)))
+            async with platform(tmp_path, entries, settings={**SETTINGS, **long_timeouts}) as program:
+                response = asyncio.create_task(program.ask(chat(left=9000)))
                 await asyncio.sleep(0.2)
                 await program.discovery.tell([{**entries[0], "status": "Terminating"}, entries[1]])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
-                came = []
+                received = []
 
-                async def take():
-                    loop, ours = asyncio.get_running_loop(), {each.getsockname() for each in fillers}
+                async def accept():
+                    loop, filler_addresses = (
+                        asyncio.get_running_loop(),
+                        {each.getsockname() for each in fillers},
+                    )
                     while True:
-                        made, peer = await loop.sock_accept(listener)
-                        with made:
-                            made.setblocking(False)
-                            if peer not in ours:
+                        connection, peer = await loop.sock_accept(listener)
+                        with connection:
+                            connection.setblocking(False)
+                            if peer not in filler_addresses:
                                 try:
-                                    came.append(await loop.sock_recv(made, 100))
+                                    received.append(await loop.sock_recv(connection, 100))
                                 except ConnectionResetError:
-                                    came.append(b"")
+                                    received.append(b"")
 
-                taking = asyncio.create_task(take())
-                assert (await asked)[0].split()[1] == "503"
+                accepting = asyncio.create_task(accept())
+                assert (await response)[0].split()[1] == "503"
                 assert (await program.line("send_stopped"))["endpoint"] == "r1"
-                while not came:
+                while not received:
                     await asyncio.sleep(0.05)
-                assert came[0] == b"", "it came up, and ended with nothing on it"
-                assert not any(b"chat" in each for each in came)
-                taking.cancel()
+                assert received[0] == b"", "it was established, and closed without data"
+                assert not any(b"chat" in each for each in received)
+                accepting.cancel()
 
     asyncio.run(within(test(), 60))
 
 
-def test_what_a_read_left_is_let_go_of_where_the_reader_refuses_and_the_others_do_not(tmp_path):
-    """The real program: the reader that holds the state is gone, and any other endpoint takes the release."""
+def test_read_state_is_released_at_another_endpoint_if_the_reader_is_down(tmp_path):
+    """With the real program: the reader that holds the state is down; another endpoint takes the release."""
 
-    async def gone_after_reading(call, writer):
+    async def read_and_stop(call, writer):
         if call[0].startswith("POST /v1/chat"):
             writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
             reader.server.close()
@@ -294,22 +299,22 @@
 
     async def test():
         nonlocal reader
-        async with Server(gone_after_reading) as reader, Server(full) as writer:
+        async with Server(read_and_stop) as reader, Server(full) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries) as program:
                 assert (await program.ask(chat(left=900)))[0].split()[1] == "503"
                 assert await writer.wait_for("DELETE /v1/holds/r1")
                 await program.discovery.tell([{**each, "status": "Terminating"} for each in entries])
-                while not (told := await program.line("endpoints"))["not_live"]:
+                while not (logged := await program.line("endpoints"))["not_live"]:
                     pass
-                assert set(told["last_sent"]) == {"r1", "w1"}, "when something new last went to each"
+                assert set(logged["last_sent"]) == {"r1", "w1"}, "time of the last send to each endpoint"
 
     reader = None
     asyncio.run(within(test(), 60))
 
 
 @pytest.mark.parametrize(
-    "code, note",
+    "code, expected_detail",
     [
         (errno.EADDRNOTAVAIL, SERVER_NOT_AT_FAULT),
         (errno.ENETUNREACH, SERVER_NOT_AT_FAULT),
@@ -321,20 +326,20 @@
         (errno.ETIMEDOUT, 0),
     ],
 )
-def test_a_connection_that_fails_on_our_own_machine_tells_nothing_of_its_endpoint(code, note):
+def test_local_connect_failure_is_not_attributed_to_the_endpoint(code, expected_detail):
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "r1")
             key = SimpleNamespace(host="h", port=1, ssl=None, is_ssl=False)
 
-            async def fails(*told, **more):
+            async def fail(*args, **options):
                 raise ClientConnectorError(key, OSError(code, "x"))
 
-            runtime.pool.request = fails
+            runtime.pool.request = fail
             forward = Forward("q", 7, endpoint, timedelta(seconds=4), is_read=True)
             runtime.sent["q", 7] = Sending()
             ended = await runtime.play(forward, runtime.exchanges["q"])
             del runtime.pool.request
-            assert (ended.status, ended.detail) == (Status.CONNECT_FAILED, note)
+            assert (ended.status, ended.detail) == (Status.CONNECT_FAILED, expected_detail)
 
     asyncio.run(within(test(), 20))
