--- a/hoplane/lease/elector.py
+++ b/hoplane/lease/elector.py
@@ -133,6 +133,7 @@
         return task
 
     async def campaign(self, sent_at: timedelta) -> None:
+        """Request a lease, try to create the key under it, and queue the outcome as an event."""
         lease_id = 0
         try:
             lease_id = await self.engine.grant(round(self.terms.ttl.total_seconds()))
@@ -160,6 +161,7 @@
             self.events.put_nowait(Renewed(sent_at, lease_id))
 
     async def revoke(self, lease_id: int) -> None:
+        """Revoke a lease once no action is running. Failures are ignored, as the lease expires anyway."""
         await self.no_action_running.wait()
         with suppress(EtcdUnavailable, LeaseNotFound):
             await self.engine.revoke(lease_id)
--- a/hoplane/lease/state_machine.py
+++ b/hoplane/lease/state_machine.py
@@ -241,6 +241,7 @@
         return effects + self.apply_deadlines(now)
 
     def is_current(self, event: Renewed | CallFailed | LeaseExpired) -> bool:
+        """Return whether an event answers the pending call of the current tenure."""
         return (
             self.phase is Phase.HOLDING and event.lease_id == self.lease_id and event.sent_at == self.sent_at
         )
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -74,11 +74,12 @@
         return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold)
 
     def reserve_send(self, runtime: Runtime, server: int) -> None:
+        """Reserve a send to a server if it is cold; warm servers have no budget."""
         if self.cold(runtime, server):
             self.cold_quota(runtime, server).reserve_send(self.now())
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
-        """Return whether a request may be written now. Logs sends to cold endpoints for audits."""
+        """Spend quota as a request is written. Returns whether it may go. Logs cold sends for audits."""
         server = runtime.state.numbers.get(endpoint.name)
         if server is None or not self.cold(runtime, server):
             return True
@@ -88,10 +89,12 @@
 
     @staticmethod
     def cold(runtime: Runtime, server: int) -> bool:
+        """Return whether a known server has not warmed up yet."""
         known, now = runtime.state.router.servers.get(server), to_ns(runtime.clock.now())
         return known is not None and known.warmth(now, runtime.state.settings.cold) < 1
 
     def record_outcome(self, endpoint: str, status: Status) -> None:
+        """Record the outcome of an attempt for outlier detection."""
         if status in FAILURE_STATUSES:
             self.sync.outliers.record_failure(self.now(), endpoint)
         elif status in SUCCESS_STATUSES:
@@ -113,6 +116,7 @@
             await asyncio.sleep(UPDATE_INTERVAL.total_seconds())
 
     def report_ejections(self, runtime: Runtime) -> None:
+        """Report ejected endpoints to the decision module, repeatedly while the ejection lasts."""
         now, listed = self.now(), [each.name for each in runtime.state.fleet.values()]
         ejected = self.sync.outliers.ejected(now, listed)
         for name in ejected:
@@ -126,6 +130,7 @@
             self.log.info("endpoint_welcome", endpoint=name)
 
     def drop_unused_quotas(self) -> None:
+        """Drop the quotas of endpoints that are warm or no longer listed."""
         cold = set()
         for runtime in self.runtimes():
             cold |= {
@@ -146,6 +151,7 @@
         self.sync.counter.merge(self.sync.process, totals)
 
     def log_counts(self) -> None:
+        """Log the fleet's counts and those of this process."""
         sync = self.sync
         self.log.info(
             "fleet",
