--- a/hoplane/lease/health_checker.py
+++ b/hoplane/lease/health_checker.py
@@ -12,7 +12,7 @@
 
 import aiohttp
 
-from hoplane import slog
+from hoplane import structured_log
 
 from .elector import LeaderElector
 
@@ -31,7 +31,7 @@
     ) -> None:
         self.elector, self.interval, self.path, self.list_endpoints = elector, interval, path, list_endpoints
         self.last_states: dict[str, str] = {}
-        self.log = slog.logger(name=elector.name)
+        self.log = structured_log.make_logger(name=elector.name)
 
     async def run(self) -> None:
         """Run rounds of checks until cancelled; pauses while another conductor holds the lease."""
--- a/hoplane/shared/fleet_sync.py
+++ b/hoplane/shared/fleet_sync.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from hoplane import slog
+from hoplane import structured_log
 from hoplane.lease.elector import Clock
 from hoplane.lease.etcd import EtcdClient, EtcdUnavailable, KeyValue, LeaseNotFound
 from hoplane.lease.state_machine import LeaseTerms
@@ -52,7 +52,7 @@
         self.counts_key = PREFIX + b"counts/" + process.encode()
         # by key: the revision, and when it was first read
         self.first_seen: dict[bytes, tuple[int, timedelta]] = {}
-        self.log = slog.logger(name=process)
+        self.log = structured_log.make_logger(name=process)
         self.connected = True
         self.rounds = self.clashes = 0
 
