--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -16,9 +16,9 @@
 from hoplane.core.time_conversion import to_ns, to_timedelta
 from hoplane.decision import interface as api
 from hoplane.decision.interface import Status
-from hoplane.decision.rules import Router
+from hoplane.decision.peer_messages import PeerReport, Symptom
+from hoplane.decision.router import Router
 from hoplane.decision.state import retune
-from hoplane.decision.words import Symptom, Word
 
 ANSWERED_STATUSES = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
 MAY_HAVE_RUN_STATUSES = (Status.OK, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
@@ -442,7 +442,7 @@
     """Pass the report to the decision module as a peer message, which makes it avoid the endpoint."""
     server_id = state.server_ids.get(event.endpoint)
     if server_id in state.fleet:
-        yield from run_module(state, now, api.PeerMessage(0, Word(Symptom.DOWN, server_id).pack()))
+        yield from run_module(state, now, api.PeerMessage(0, PeerReport(Symptom.DOWN, server_id).pack()))
 
 
 def on_request_interrupted(
--- a/hoplane/core/statistics.py
+++ b/hoplane/core/statistics.py
@@ -40,7 +40,7 @@
     unhealthy = 0
     for server_id, endpoint in state.fleet.items():
         server = servers.get(server_id)
-        ejected = server is not None and (server.strikes > 0 or now < server.aside_until)
+        ejected = server is not None and (server.consecutive_ejections > 0 or now < server.ejected_until)
         unhealthy += endpoint.state is not State.LIVE or ejected
     statistics = state.statistics
     return {
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -21,7 +21,7 @@
 from hoplane.core.statistics import collect
 from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 from hoplane.net.aio import Spoilt, Stale
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Drained, Pool, Sending, failed_here
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -112,7 +112,10 @@
     assert (
         harness.state.requests["new"].max_attempts == 2 and harness.state.requests["old"].max_attempts is None
     )
-    assert harness.state.router.jobs["new"].cap == 2 and harness.state.router.jobs["old"].cap is None
+    assert (
+        harness.state.router.jobs["new"].max_attempts == 2
+        and harness.state.router.jobs["old"].max_attempts is None
+    )
 
 
 @pytest.mark.parametrize("reload_first", [True, False])
