--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -138,12 +138,12 @@
             async with platform(tmp_path, entries, first=fault_setup) as program:
                 loop = asyncio.get_running_loop()
                 for stop in (False, True):
-                    asked = [asyncio.create_task(program.ask(chat(f"{stop}{n}"))) for n in range(5)]
+                    requests = [asyncio.create_task(program.ask(chat(f"{stop}{n}"))) for n in range(5)]
                     if stop:
                         await asyncio.sleep(0.05)
                         program.process.terminate()
                     started = loop.time()
-                    answers = await asyncio.gather(*asked)
+                    answers = await asyncio.gather(*requests)
                     assert all(each and each[0].split()[1] in ("200", "503") for each in answers), answers
                     assert stop or loop.time() - started < 4, "before the clients' deadline"
                 assert await within(program.process.wait()) == 0
