--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -10,7 +10,7 @@
 from hoplane import structured_log
 from hoplane.config import Config
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns
+from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import Status
 from hoplane.lease.elector import monotonic_clock
 from hoplane.lease.etcd import EtcdClient
@@ -34,10 +34,10 @@
         self.settings, self.runtimes = settings, runtimes
         self.now = monotonic_clock(settings.clock_rate)
         process = f"{config.name}.{os.urandom(4).hex()}"
-        self.engine = EtcdClient(list(settings.engine), settings.call)
+        self.engine = EtcdClient(list(settings.etcd_members), settings.call_timeout)
         seed = int.from_bytes(os.urandom(8))
         self.sync = FleetSync(
-            process, self.engine, settings.terms, settings.rule, settings.every, self.now, seed
+            process, self.engine, settings.terms, settings.outlier_rule, settings.interval, self.now, seed
         )
         self.attached: set[int] = set()
         self.reported_ejections: dict[str, timedelta] = {}
@@ -71,15 +71,16 @@
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
         """Return the quota of a cold endpoint's budget, which is created on first use."""
         endpoint = runtime.state.fleet.get(server)
-        return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold)
+        return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold_budget)
 
     def reserve_send(self, runtime: Runtime, server: int) -> None:
+        """Reserve a send to a server if it is cold; warm servers have no budget."""
         if self.cold(runtime, server):
             self.cold_quota(runtime, server).reserve_send(self.now())
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
-        """Return whether a request may be written now. Logs sends to cold endpoints for audits."""
-        server = runtime.state.numbers.get(endpoint.name)
+        """Spend quota as a request is written. Returns whether it may go. Logs cold sends for audits."""
+        server = runtime.state.server_ids.get(endpoint.name)
         if server is None or not self.cold(runtime, server):
             return True
         if fits := self.cold_quota(runtime, server).spend_reserved(self.now()):
@@ -88,10 +89,12 @@
 
     @staticmethod
     def cold(runtime: Runtime, server: int) -> bool:
+        """Return whether a known server has not warmed up yet."""
         known, now = runtime.state.router.servers.get(server), to_ns(runtime.clock.now())
         return known is not None and known.warmup_progress(now, runtime.state.settings.cold) < 1
 
     def record_outcome(self, endpoint: str, status: Status) -> None:
+        """Record the outcome of an attempt for outlier detection."""
         if status in FAILURE_STATUSES:
             self.sync.outliers.record_failure(self.now(), endpoint)
         elif status in SUCCESS_STATUSES:
@@ -113,6 +116,7 @@
             await asyncio.sleep(UPDATE_INTERVAL.total_seconds())
 
     def report_ejections(self, runtime: Runtime) -> None:
+        """Report ejected endpoints to the decision module, repeatedly while the ejection lasts."""
         now, listed = self.now(), [each.name for each in runtime.state.fleet.values()]
         ejected = self.sync.outliers.ejected(now, listed)
         for name in ejected:
@@ -126,6 +130,7 @@
             self.log.info("endpoint_welcome", endpoint=name)
 
     def drop_unused_quotas(self) -> None:
+        """Drop the quotas of endpoints that are warm or no longer listed."""
         cold = set()
         for runtime in self.runtimes():
             cold |= {
@@ -140,12 +145,13 @@
         """Merge the counts of this process's conductors into the counter."""
         totals: dict[str, int] = {}
         for runtime in self.runtimes():
-            for cls, counts in runtime.state.figures.transactions.items():
+            for cls, counts in runtime.state.statistics.transactions.items():
                 for what, count in counts.items():
                     totals[f"{cls}/{what}"] = totals.get(f"{cls}/{what}", 0) + count
         self.sync.counter.merge(self.sync.process, totals)
 
     def log_counts(self) -> None:
+        """Log the fleet's counts and those of this process."""
         sync = self.sync
         self.log.info(
             "fleet",
