--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -250,8 +250,8 @@
 REQUEST_FIELDS = {
     "session": ("thread", get_text),
     "prefix": ("prefix", get_text),
-    "prefix_len": ("shared_len", get_integer),
-    "hint": ("estimate", get_ticks),
+    "prefix_tokens": ("shared_len", get_integer),
+    "output_hint": ("estimate", get_ticks),
     "tenant": ("party", get_text),
     "retry": ("repeat", get_flag),
     "resumed": ("came_back", get_flag),
--- a/hoplane/decision/cached_tokens.py
+++ b/hoplane/decision/cached_tokens.py
@@ -54,11 +54,11 @@
     def remaining_tokens(job: Job, evidence: CacheEvidence) -> int:
         """Return the tokens of a prompt that are not cached according to the evidence."""
         same_reader, prefix_cached, _, _ = evidence
-        prefix_tokens = job.request.prefix_len if prefix_cached else 0
+        cached_prefix_tokens = job.request.prefix_tokens if prefix_cached else 0
         return max(
             0,
             job.request.prompt_tokens
-            - max(prefix_tokens, job.session_record.read_tokens if same_reader else 0),
+            - max(cached_prefix_tokens, job.session_record.read_tokens if same_reader else 0),
         )
 
     def unread_tokens(self, job: Job, server: Server) -> int:
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -187,14 +187,14 @@
     """A client's request, which must get exactly one final answer."""
 
     request_id: str
-    cls: str
+    class_name: str
     prompt_tokens: int
     max_output_tokens: int
     time_left: int
     session: str | None = None
     prefix: str | None = None
-    prefix_len: int = 0
-    hint: int | None = None
+    prefix_tokens: int = 0
+    output_hint: int | None = None  # expected output time, see ClassSettings.token_aim
     tenant: str | None = None
     retry: bool = False
     resumed: bool = False
--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -186,7 +186,7 @@
 
         The timer fires one tick early, so that the final answer is in time.
         """
-        cls = self.classes.get(event.cls)
+        cls = self.classes.get(event.class_name)
         if cls is None or event.request_id in self.jobs:
             return None
         session_record = self.sessions.get(event.session or event.prefix or "")
@@ -334,7 +334,7 @@
         key = job.request.session or job.request.prefix or ""
         self.sessions.pop(key, None)
         self.sessions[key] = job.next_session_record(server, self.now)
-        if job.local_server is not None and 2 * event.detail < job.request.prefix_len:
+        if job.local_server is not None and 2 * event.detail < job.request.prefix_tokens:
             server.sessions_valid_since = job.arrived_at
 
     def on_client_disconnected(self, event: api.ClientDisconnected) -> Job | None:
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -343,7 +343,7 @@
     @property
     def tenant_class(self) -> tuple[str | None, str]:
         """Return the request's tenant and class."""
-        return self.request.tenant, self.request.cls
+        return self.request.tenant, self.request.class_name
 
     @property
     def placement_key(self) -> str:
@@ -363,13 +363,15 @@
     @property
     def new_tokens(self) -> int:
         """Return the number of prompt tokens after the shared prefix."""
-        return max(0, self.request.prompt_tokens - self.request.prefix_len)
+        return max(0, self.request.prompt_tokens - self.request.prefix_tokens)
 
     @property
     def output_tokens(self) -> int:
         """Return the expected output length: the hinted length, or else the maximum."""
         request, aim = self.request, self.cls.token_aim
-        return max(1, request.hint // aim if request.hint and aim else request.max_output_tokens)
+        return max(
+            1, request.output_hint // aim if request.output_hint and aim else request.max_output_tokens
+        )
 
 
 def retune(router, settings) -> None:
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -23,7 +23,7 @@
     """Submit requests with unknown prefixes all at once and count the refusals."""
     refused = 0
     for number in range(most):
-        harness.submit(f"b{number}", prompt_tokens=3000, prefix=f"t{number}", prefix_len=2000)
+        harness.submit(f"b{number}", prompt_tokens=3000, prefix=f"t{number}", prefix_tokens=2000)
         refused += harness.final_answers() == [api.Refuse]
     return refused
 
@@ -31,7 +31,7 @@
 def test_after_a_restart_tokens_read_by_others_do_not_count_as_unread():
     harness = restarted_router()
     for number in range(12):  # readers have cached nearly all, though this router never sent it
-        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_tokens=2000)
         harness.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         harness.disconnect(f"r{number}")
     harness.router.read_speed = 10_000.0
@@ -41,7 +41,7 @@
 def test_prefixes_that_nobody_has_read_count_as_unread():
     harness = restarted_router()
     for number in range(30):
-        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_tokens=2000)
         harness.outcome(Status.MISS, READER_A, f"r{number}", detail=0, after=300 * MS)
         harness.disconnect(f"r{number}")
     assert count_refusals(harness) > 0
@@ -50,7 +50,7 @@
 def test_with_retry_after_the_estimate_stays_pessimistic():
     harness = restarted_router(retry_after=True, max_retry_after=S)
     for number in range(12):
-        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_len=2000)
+        harness.submit(f"r{number}", prompt_tokens=3000, prefix=f"p{number}", prefix_tokens=2000)
         harness.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         harness.disconnect(f"r{number}")
     harness.router.read_speed = 10_000.0
--- a/tests/test_failure_handling.py
+++ b/tests/test_failure_handling.py
@@ -600,13 +600,13 @@
     harness = Harness(fleet=(entry(READER_A, "reader"), *FLEET[2:]), retry_after=True)
     reader = harness.router.servers[READER_A]
     for prefix in ("a", "b"):
-        harness.serve(prefix, prompt_tokens=5000, prefix=prefix, prefix_len=4000)
-    harness.submit("kept", session="n1", prompt_tokens=5000, prefix="a", prefix_len=4000)
-    harness.submit("next", session="n2", prompt_tokens=5000, prefix="b", prefix_len=4000)
+        harness.serve(prefix, prompt_tokens=5000, prefix=prefix, prefix_tokens=4000)
+    harness.submit("kept", session="n1", prompt_tokens=5000, prefix="a", prefix_tokens=4000)
+    harness.submit("next", session="n2", prompt_tokens=5000, prefix="b", prefix_tokens=4000)
     assert reader.queued_tokens == 2000
     harness.outcome(Status.MISS, READER_A, "kept", detail=4000)
     assert reader.queued_tokens == 1000, "cached as expected: nothing was lost"
-    harness.submit("lost", session="n3", prompt_tokens=5000, prefix="a", prefix_len=4000)
+    harness.submit("lost", session="n3", prompt_tokens=5000, prefix="a", prefix_tokens=4000)
     harness.outcome(Status.MISS, READER_A, "lost", detail=0)
     assert reader.queued_tokens == 5000 and list(reader.cached_prefixes) == ["a"], (
         "only what was read again is cached"
--- a/tests/test_hard_rules.py
+++ b/tests/test_hard_rules.py
@@ -343,5 +343,5 @@
 def test_table_of_cached_prefixes_is_bounded(harness):
     reader = harness.router.servers[READER_A]
     for number in range(3000):
-        harness.serve(f"r{number}", prefix=f"p{number}", prefix_len=1000)
+        harness.serve(f"r{number}", prefix=f"p{number}", prefix_tokens=1000)
     assert len(reader.cached_prefixes) < 200 and len(harness.router.servers[READER_B].cached_prefixes) < 200
--- a/tests/test_path_selection.py
+++ b/tests/test_path_selection.py
@@ -12,7 +12,7 @@
 from hoplane.decision.interface import Status
 from hoplane.decision.state import MovingAverage
 
-LATER = {"prompt_tokens": 4000, "prefix_len": 3500, "session": "s", "prefix": "p"}
+LATER = {"prompt_tokens": 4000, "prefix_tokens": 3500, "session": "s", "prefix": "p"}
 
 
 @pytest.fixture(autouse=True)
@@ -62,13 +62,13 @@
 def test_later_turn_without_averages_and_with_many_new_tokens_is_remote():
     harness, _ = with_session_record()
     harness.router.path_averages_by_bucket.clear()
-    harness.submit("r2", **{**LATER, "prompt_tokens": 20_000, "prefix_len": 17_000})
+    harness.submit("r2", **{**LATER, "prompt_tokens": 20_000, "prefix_tokens": 17_000})
     assert harness.sent()[0] in (READER_A, READER_B)
 
 
 def test_turn_with_new_tokens_over_a_quarter_of_the_prompt_is_remote():
     harness, _ = with_session_record()
-    harness.submit("r2", **{**LATER, "prefix_len": 2900})
+    harness.submit("r2", **{**LATER, "prefix_tokens": 2900})
     assert harness.sent()[0] in (READER_A, READER_B)
 
 
@@ -194,7 +194,8 @@
 harness = Harness(seed=5)
 out = []
 for n in range(200):
-    out += harness.submit(f"r{n}", session=f"s{n % 40}", prefix=f"p{n % 7}", prefix_len=1800, after=20 * MS)
+    fields = {"session": f"s{n % 40}", "prefix": f"p{n % 7}", "prefix_tokens": 1800}
+    out += harness.submit(f"r{n}", after=20 * MS, **fields)
     if (sent := harness.sent()) and n % 3:
         out += harness.outcome(api.Status.MISS, sent[0], f"r{n}")
     out += harness.run_timers(harness.now + 5 * MS)
