--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -343,8 +343,8 @@
             self.cancel(job.in_flight)
         return job
 
-    def schedule(self, span: int, callback: Callable[[], Job | None]) -> None:
-        self.actions.append(api.SetTimer(self.now + span, self.timers.add(callback)))
+    def schedule(self, delay: int, callback: Callable[[], Job | None]) -> None:
+        self.actions.append(api.SetTimer(self.now + delay, self.timers.add(callback)))
 
     def record_activity(self, attempt: Attempt) -> None:
         server = attempt.server
@@ -358,8 +358,8 @@
         )
         server.recent_successes.add(self.now)
 
-    def record_queue_delay(self, server: Server, took: int, unread_tokens: int) -> None:
-        server.queue_delay, server.queue_delay_at = took - self.reading_time(unread_tokens), self.now
+    def record_queue_delay(self, server: Server, elapsed: int, unread_tokens: int) -> None:
+        server.queue_delay, server.queue_delay_at = elapsed - self.reading_time(unread_tokens), self.now
 
     def apply_symptom(
         self, symptom: Symptom, server: Server, tenant_class: object = None, from_peer: bool = False
@@ -566,12 +566,12 @@
     def finish(self, job: Job) -> Job:
         """Give the final answer: refused if a retry is known to be safe, else failed."""
         cls, request = job.cls, job.request.request_id
-        harmless = not job.in_flight and not any(attempt.may_have_run for attempt in job.attempts)
+        safe_to_retry = not job.in_flight and not any(attempt.may_have_run for attempt in job.attempts)
         retry_delay = min(
             max(0, job.retry_delay), self.settings.retry_after and self.settings.max_retry_after or 0
         )
         self.actions.append(
-            api.Refuse(request, retry_delay) if harmless or cls.repeatable else api.Fail(request)
+            api.Refuse(request, retry_delay) if safe_to_retry or cls.repeatable else api.Fail(request)
         )
         job.ended = True
         self.cancel(job.in_flight)
@@ -626,8 +626,8 @@
 
     def slow_start_allows(self, server: Server) -> bool:
         """Return whether a server is warm, or has slow-start credit for a send."""
-        peers, sent = len(self.live((server.role,))), self.recent_sends[server.role is Role.READ]
-        return self.slow_start.allows_send(server, self.now, self.settings, sent, peers)
+        role_size, sends = len(self.live((server.role,))), self.recent_sends[server.role is Role.READ]
+        return self.slow_start.allows_send(server, self.now, self.settings, sends, role_size)
 
     def all_cold(self) -> bool:
         """Return whether all writers are cold."""
