--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -105,11 +105,11 @@
 class Lease:
     """The lease under which one conductor of the fleet health-checks endpoints, see docs/leases.md."""
 
-    engine: tuple[str, ...]  # HOST:PORT of each etcd member
+    etcd_members: tuple[str, ...]  # HOST:PORT of each
     key: str
     terms: LeaseTerms
-    call: timedelta  # timeout of a call to etcd
-    every: timedelta  # between two rounds of health checks
+    call_timeout: timedelta  # of a call to etcd
+    interval: timedelta  # between two rounds of health checks
     clock_rate: float = 1.0  # speed of this process's clock, for drills
 
 
@@ -117,12 +117,12 @@
 class Shared:
     """State shared by the conductors of a fleet, see docs/shared.md."""
 
-    engine: tuple[str, ...]
+    etcd_members: tuple[str, ...]
     terms: LeaseTerms
-    call: timedelta
-    every: timedelta  # between two synchronizations with etcd
-    cold: Budget  # of sends to each cold endpoint by all conductors together
-    rule: OutlierRule
+    call_timeout: timedelta
+    interval: timedelta  # between two synchronizations with etcd
+    cold_budget: Budget  # of sends to each cold endpoint by all conductors together
+    outlier_rule: OutlierRule
     clock_rate: float = 1.0
 
 
@@ -252,8 +252,8 @@
     """Validate the [lease] section."""
     from hoplane.lease.state_machine import LeaseTerms
 
-    engine = parse_members(raw, LEASE_KEYS, "lease.")
-    call = get_milliseconds(raw, "call_ms", 500, "lease.")
+    etcd_members = parse_members(raw, LEASE_KEYS, "lease.")
+    call_timeout = get_milliseconds(raw, "call_ms", 500, "lease.")
     try:
         terms = LeaseTerms(
             ttl=timedelta(seconds=get_integer(raw, "ttl_s", 5, 1, "lease.")),
@@ -263,28 +263,28 @@
         )
     except ValueError as error:
         raise ConfigError(f"lease.{error}") from None
-    if call > terms.renew_interval:
+    if call_timeout > terms.renew_interval:
         raise ConfigError("lease.call_ms: must be at most a third of ttl_s, to leave time to retry a renewal")
     key = get_text(raw, "key", "lease.") if "key" in raw else "hoplane/patrol"
-    every, rate = (
+    interval, clock_rate = (
         get_milliseconds(raw, "every_ms", 1000, "lease."),
         get_number(raw, "clock_rate", 1.0, "lease."),
     )
-    if not 0.5 <= rate <= 2:
+    if not 0.5 <= clock_rate <= 2:
         raise ConfigError("lease.clock_rate: must be from 0.5 to 2")
-    return Lease(engine, key, terms, call, every, rate)
+    return Lease(etcd_members, key, terms, call_timeout, interval, clock_rate)
 
 
 def parse_members(raw: dict, known: tuple[str, ...], where: str) -> tuple[str, ...]:
     """Return the addresses of the etcd members, after a check that the section has no unknown keys."""
     if unknown := set(raw) - set(known):
         raise ConfigError(f"{where}{min(unknown)}: unknown key")
-    engine = raw.get("engine")
-    if not isinstance(engine, list) or not engine:
+    members = raw.get("engine")
+    if not isinstance(members, list) or not members:
         raise ConfigError(f"{where}engine: must be a non-empty list of HOST:PORT")
-    for index in range(len(engine)):
-        parse_address({f"{where}engine.{index}": engine[index]}, f"{where}engine.{index}")
-    return tuple(engine)
+    for index in range(len(members)):
+        parse_address({f"{where}engine.{index}": members[index]}, f"{where}engine.{index}")
+    return tuple(members)
 
 
 def parse_shared(raw: dict, raw_settings: dict) -> Shared:
@@ -293,24 +293,27 @@
     from hoplane.shared.budget import Budget
     from hoplane.shared.outlier_detection import OutlierRule
 
-    engine = parse_members(raw, SHARED_KEYS, "shared.")
+    etcd_members = parse_members(raw, SHARED_KEYS, "shared.")
     if isinstance(family := raw_settings.get("family_info"), dict) and family.get("ahead"):
         raise ConfigError(
             "shared: not supported with settings.family_info.ahead, which reserves without a budget"
         )
     window = get_milliseconds(raw, "window_ms", 1000, "shared.")
-    call = get_milliseconds(raw, "call_ms", 300, "shared.")
-    every, ttl = get_milliseconds(raw, "every_ms", 500, "shared."), get_integer(raw, "ttl_s", 5, 1, "shared.")
+    call_timeout = get_milliseconds(raw, "call_ms", 300, "shared.")
+    interval, ttl = (
+        get_milliseconds(raw, "every_ms", 500, "shared."),
+        get_integer(raw, "ttl_s", 5, 1, "shared."),
+    )
     if "most" not in raw:
         raise ConfigError("shared.most: is missing: the maximum number of conductors running at once")
     try:
-        budget = Budget(
+        cold_budget = Budget(
             get_number(raw, "cold_sends", 10.0, "shared."),
             window,
             get_integer(raw, "most", 1, 1, "shared."),
             get_number(raw, "reserve", 0.3, "shared."),
         )
-        rule = OutlierRule(
+        outlier_rule = OutlierRule(
             get_integer(raw, "failures", 3, 1, "shared."), get_milliseconds(raw, "keep_ms", 4000, "shared.")
         )
         # A quota slice expires one window before the lease: the window stands in for a task's action timeout.
@@ -319,9 +322,17 @@
         key, _, message = str(error).partition(":")
         setting_keys = {"act_ms": "window_ms", "bound": "cold_sends", "need": "failures"}
         raise ConfigError(f"shared.{setting_keys.get(key, key)}:{message}") from None
-    if 2 * (every + 3 * call) > terms.safe_lifetime - window:
+    if 2 * (interval + 3 * call_timeout) > terms.safe_lifetime - window:
         raise ConfigError("shared.ttl_s: too short, must fit two rounds (every_ms, 3 calls) and window_ms")
-    return Shared(engine, terms, call, every, budget, rule, get_number(raw, "clock_rate", 1.0, "shared."))
+    return Shared(
+        etcd_members,
+        terms,
+        call_timeout,
+        interval,
+        cold_budget,
+        outlier_rule,
+        get_number(raw, "clock_rate", 1.0, "shared."),
+    )
 
 
 def get_number(raw: dict, key: str, default: float, where: str) -> float:
--- a/hoplane/lease/health_check_task.py
+++ b/hoplane/lease/health_check_task.py
@@ -20,12 +20,12 @@
 
     def __init__(self, config: Config, list_endpoints: Callable[[], list[tuple[str, str]]]) -> None:
         settings = config.lease
-        self.engine = EtcdClient(list(settings.engine), settings.call)
+        self.engine = EtcdClient(list(settings.etcd_members), settings.call_timeout)
         seed = int.from_bytes(os.urandom(8))  # conductors must not back off in lockstep
         self.elector = LeaderElector(
             settings.key, config.name, settings.terms, self.engine, monotonic_clock(settings.clock_rate), seed
         )
-        self.checker = HealthChecker(self.elector, settings.every, LIVENESS_PATH, list_endpoints)
+        self.checker = HealthChecker(self.elector, settings.interval, LIVENESS_PATH, list_endpoints)
         self.tasks: list[asyncio.Task] = []
 
     def start(self) -> None:
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -34,10 +34,10 @@
         self.settings, self.runtimes = settings, runtimes
         self.now = monotonic_clock(settings.clock_rate)
         process = f"{config.name}.{os.urandom(4).hex()}"
-        self.engine = EtcdClient(list(settings.engine), settings.call)
+        self.engine = EtcdClient(list(settings.etcd_members), settings.call_timeout)
         seed = int.from_bytes(os.urandom(8))
         self.sync = FleetSync(
-            process, self.engine, settings.terms, settings.rule, settings.every, self.now, seed
+            process, self.engine, settings.terms, settings.outlier_rule, settings.interval, self.now, seed
         )
         self.attached: set[int] = set()
         self.reported_ejections: dict[str, timedelta] = {}
@@ -71,7 +71,7 @@
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
         """Return the quota of a cold endpoint's budget, which is created on first use."""
         endpoint = runtime.state.fleet.get(server)
-        return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold)
+        return self.sync.quota_for(f"cold/{endpoint.name if endpoint else server}", self.settings.cold_budget)
 
     def reserve_send(self, runtime: Runtime, server: int) -> None:
         """Reserve a send to a server if it is cold; warm servers have no budget."""
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -56,4 +56,4 @@
     assert config.lease is None and config.shared is None
     config = load_file(tmp_path, f"[lease]\n{ENGINE}[shared]\n{ENGINE}most = 6\n")
     assert config.lease.terms.ttl == timedelta(seconds=5) and config.lease.key == "hoplane/patrol"
-    assert config.shared.cold.max_members == 6 and config.shared.rule.min_failures == 3
+    assert config.shared.cold_budget.max_members == 6 and config.shared.outlier_rule.min_failures == 3
