--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -13,7 +13,7 @@
 import orjson
 
 from hoplane.adapter import WireError, read_settings
-from hoplane.core.transient import UNREADABLE
+from hoplane.core.transient_errors import TRANSIENT_READ_FAILURES
 from hoplane.decision.interface import Settings
 
 # Imported on use: imports take half of the start-up time, and a platform's configuration needs none of these.
@@ -64,7 +64,7 @@
 
 def read_error(name: str, error: Exception) -> ConfigError:
     """Return the error for a file that could not be read or parsed."""
-    transient = isinstance(error, OSError) and error.errno in UNREADABLE
+    transient = isinstance(error, OSError) and error.errno in TRANSIENT_READ_FAILURES
     return (TransientReadError if transient else ConfigError)(f"{name}: {error}")
 
 
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -10,7 +10,7 @@
 from hoplane import structured_log
 from hoplane.config import Config
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns
+from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import Status
 from hoplane.lease.elector import monotonic_clock
 from hoplane.lease.etcd import EtcdClient
@@ -80,7 +80,7 @@
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
         """Spend quota as a request is written. Returns whether it may go. Logs cold sends for audits."""
-        server = runtime.state.numbers.get(endpoint.name)
+        server = runtime.state.server_ids.get(endpoint.name)
         if server is None or not self.cold(runtime, server):
             return True
         if fits := self.cold_quota(runtime, server).spend_reserved(self.now()):
@@ -145,7 +145,7 @@
         """Merge the counts of this process's conductors into the counter."""
         totals: dict[str, int] = {}
         for runtime in self.runtimes():
-            for cls, counts in runtime.state.figures.transactions.items():
+            for cls, counts in runtime.state.statistics.transactions.items():
                 for what, count in counts.items():
                     totals[f"{cls}/{what}"] = totals.get(f"{cls}/{what}", 0) + count
         self.sync.counter.merge(self.sync.process, totals)
--- a/tests/test_settings_validation.py
+++ b/tests/test_settings_validation.py
@@ -54,7 +54,7 @@
                 assert any(each in named for each in expected), error
             continue
         Router(config.settings, 1)
-        Pacing(config.settings, random.Random(1)).failed(silent=True)
+        Pacing(config.settings, random.Random(1)).failed(timed_out=True)
 
 
 def test_many_classes_without_tenants_are_accepted_and_duplicate_names_rejected():
