--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -251,7 +251,7 @@
     "session": ("thread", get_text),
     "prefix": ("prefix", get_text),
     "prefix_tokens": ("shared_len", get_integer),
-    "output_hint": ("estimate", get_ticks),
+    "hint": ("estimate", get_ticks),
     "tenant": ("party", get_text),
     "retry": ("repeat", get_flag),
     "resumed": ("came_back", get_flag),
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -194,7 +194,7 @@
     session: str | None = None
     prefix: str | None = None
     prefix_tokens: int = 0
-    output_hint: int | None = None  # expected output time, see ClassSettings.token_aim
+    hint: int | None = None  # expected output time, see ClassSettings.token_aim
     tenant: str | None = None
     retry: bool = False
     resumed: bool = False
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -370,7 +370,7 @@
         """Return the expected output length: the hinted length, or else the maximum."""
         request, aim = self.request, self.cls.token_aim
         return max(
-            1, request.output_hint // aim if request.output_hint and aim else request.max_output_tokens
+            1, request.hint // aim if request.hint and aim else request.max_output_tokens
         )
 
 
