--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -369,9 +369,7 @@
     def output_tokens(self) -> int:
         """Return the expected output length: the hinted length, or else the maximum."""
         request, aim = self.request, self.cls.token_aim
-        return max(
-            1, request.hint // aim if request.hint and aim else request.max_output_tokens
-        )
+        return max(1, request.hint // aim if request.hint and aim else request.max_output_tokens)
 
 
 def retune(router, settings) -> None:
