--- a/hoplane/lab/__main__.py
+++ b/hoplane/lab/__main__.py
@@ -16,7 +16,7 @@
 from . import bench, drill, faults, schedule, share_bench, soak
 from .engine import Engine
 from .link import Link
-from .soak_oracle import Problem
+from .soak_oracle import Violation
 
 JOBS = max(1, (os.cpu_count() or 2) // 3)  # drills at once: each runs some five processes
 
@@ -111,9 +111,9 @@
 def soaked(seed: int, conductors: int | None) -> soak.Outcome:
     """Play one soak; one that does not end counts as a broken rule."""
     try:
-        return soak.play(seed, conductors)
+        return soak.run_soak(seed, conductors)
     except TimeoutError:
-        return soak.Outcome(seed, conductors or 0, problems=[Problem("hang", "the soak did not end")])
+        return soak.Outcome(seed, conductors or 0, problems=[Violation("hang", "the soak did not end")])
 
 
 @lab.command("soak")
--- a/hoplane/lab/bench.py
+++ b/hoplane/lab/bench.py
@@ -76,7 +76,7 @@
                 holder.signal(kind)
                 if not await until(lambda t=token: acted.acts[-1].token > t, WAIT):
                     raise TimeoutError("no new holder")
-                begun = next(act.begun for act in acted.acts if act.token > token)
+                begun = next(act.started for act in acted.acts if act.token > token)
                 found.record_value(max(1, round((begun - ended) * 1e6)))
                 await holder.process.wait()
                 await holder.start()
--- a/hoplane/lab/drill.py
+++ b/hoplane/lab/drill.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from .checker import Act, problems
+from .checker import Action, find_violations
 from .engine import Engine
 from .link import Link
 from .resource import Resource
@@ -47,14 +47,14 @@
     """What a drill showed: acts, what broke the rule, and what the conductors' logs told."""
 
     schedule: Schedule
-    acts: list[Act]
+    acts: list[Action]
     problems: list[str]
     refused: int  # acts under stale tokens that resources turned away
     events: list[dict] = field(default_factory=list)
 
     def tenures(self) -> list[int]:
         """Give the tokens under which something was done, in order."""
-        return list(dict.fromkeys(act.token for act in sorted(self.acts, key=lambda act: act.begun)))
+        return list(dict.fromkeys(act.token for act in sorted(self.acts, key=lambda act: act.started)))
 
 
 def own_address(who: int) -> str:
@@ -225,7 +225,7 @@
                         each.signal(signal.SIGKILL)
                         await each.process.wait()
             acts = [act for each in resources for act in each.acts]
-            found = problems(acts, everywhere=not plan.fenced)
+            found = find_violations(acts, across_resources=not plan.fenced)
             found += [f"c{who} ended with status {s}" for who, s in enumerate(statuses) if s != 0]
             events = [line for each in self.conductors for line in each.events()]
             return Found(plan, acts, found, sum(each.refused for each in resources), events)
--- a/hoplane/lab/faults.py
+++ b/hoplane/lab/faults.py
@@ -1,8 +1,9 @@
-"""Makes system calls of this process fail, stop short or take long, by a seeded plan.
+"""Injects faults into the system calls of this process by a seeded plan: errors, short transfers and delays.
 
-A process loads this module at its start (`python -m hoplane.lab faulty PLAN`, or `install` from a test); no
-other process is touched. Calls are wrapped where Python makes them, so that a fault shows as the system would
-show it: an `OSError` with its errno. EINTR never reaches Python code (PEP 475): there the call is made again.
+A process loads this module at its start (`python -m hoplane.lab faulty PLAN`, or `install` from a test);
+other processes are not affected. Calls are wrapped where Python makes them, so a fault surfaces as the system
+would report it: an `OSError` with its errno. EINTR never reaches Python code because the interpreter retries
+the call (PEP 475).
 
 A plan is JSON: `{"seed": 7, "faults": [{"call": "accept", "errno": "ENFILE", "share": 0.5, "end": 2}]}`.
 `docs/lab.md` lists the fields."""
@@ -25,29 +26,29 @@
 import orjson
 
 CALLS = ("accept", "socket", "connect", "send", "recv", "poll", "open", "write", "fsync", "rename", "clock")
-RETRIED = errno.EINTR  # the interpreter makes such a call again by itself
-NEVER = float("inf")
+RETRIED_BY_INTERPRETER = errno.EINTR  # PEP 475: the interpreter retries the call, so no error is raised
+UNBOUNDED = float("inf")
 
 
 class PlanError(ValueError):
-    """What is wrong with a plan, with the key in front."""
+    """An invalid fault plan; the message starts with the key at fault."""
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """One kind of fault of one call, in a span of the process's life.
+    """One kind of fault of one system call, active for a period of the process's lifetime.
 
-    `share`: the part of calls that it meets, 0 to 1. `begin`, `end`: seconds since the start. `errno`: what
-    the call fails with. `hold_s`: how long the call takes in addition. `short`: the most bytes that a send or
-    recv takes. `step_s`: how far the wall clock is off while the fault lasts (`clock` alone). `port`: only
-    connections to this port. `descriptor`: only writes to this descriptor. `path`: only files whose path has
-    this in it."""
+    `share`: the probability that a call is affected, 0 to 1. `begin`, `end`: seconds since the start.
+    `errno`: the name of the error that the call fails with. `hold_s`: an additional delay of the call in
+    seconds. `short`: the most bytes that a send or recv transfers. `step_s`: the offset of the wall clock
+    while the fault is active (`clock` only). `port`: only connections to this port. `descriptor`: only writes
+    to this descriptor. `path`: only files whose path contains this."""
 
     call: str
     errno: str | None = None
     share: float = 1.0
     begin: float = 0.0
-    end: float = NEVER
+    end: float = UNBOUNDED
     hold_s: float = 0.0
     short: int = 0
     step_s: float = 0.0
@@ -56,66 +57,68 @@
     path: str | None = None
 
     @property
-    def code(self) -> int | None:
-        """Give the number of its errno."""
+    def error_number(self) -> int | None:
+        """Return the errno as a number."""
         return None if self.errno is None else getattr(errno, self.errno)
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """A seed and the faults that are drawn with it."""
+    """The faults to inject, and the seed that decides which calls are affected."""
 
     seed: int = 0
     faults: tuple[Fault, ...] = field(default=())
 
 
-def check_number(key: str, value: object, least: float = 0.0) -> None:
-    """Raise a PlanError unless a value is a number that is large enough."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= least:
-        raise PlanError(f"{key}: must be a number of at least {least:g}")
+def check_number(key: str, value: object, minimum: float = 0.0) -> None:
+    """Raise a PlanError unless the value is a number of at least `minimum`."""
+    if isinstance(value, bool) or not isinstance(value, int | float) or not value >= minimum:
+        raise PlanError(f"{key}: must be a number of at least {minimum:g}")
 
 
-def read_fault(at: int, told: object) -> Fault:
-    """Check one fault of a plan."""
-    key = f"faults[{at}]"
-    if not isinstance(told, dict):
+def parse_fault(index: int, raw: object) -> Fault:
+    """Parse and validate one fault of a plan."""
+    key = f"faults[{index}]"
+    if not isinstance(raw, dict):
         raise PlanError(f"{key}: must be an object")
-    known = {each.name for each in fields(Fault)}
-    if unknown := sorted(set(told) - known):
+    known = {item.name for item in fields(Fault)}
+    if unknown := sorted(set(raw) - known):
         raise PlanError(f"{key}.{unknown[0]}: is not known; known are {', '.join(sorted(known))}")
-    if told.get("call") not in CALLS:
+    if raw.get("call") not in CALLS:
         raise PlanError(f"{key}.call: must be one of {', '.join(CALLS)}")
-    code = told.get("errno")
-    if code is not None and (not isinstance(code, str) or code not in errno.errorcode.values()):
-        raise PlanError(f"{key}.errno: {code!r} is no errno of this system")
+    error_name = raw.get("errno")
+    if error_name is not None and (
+        not isinstance(error_name, str) or error_name not in errno.errorcode.values()
+    ):
+        raise PlanError(f"{key}.errno: {error_name!r} is no errno of this system")
     for name in ("share", "begin", "end", "hold_s", "short", "port", "descriptor"):
-        if told.get(name) is not None:
-            check_number(f"{key}.{name}", told[name])
-    if not isinstance(told.get("path", ""), str):
+        if raw.get(name) is not None:
+            check_number(f"{key}.{name}", raw[name])
+    if not isinstance(raw.get("path", ""), str):
         raise PlanError(f"{key}.path: must be text")
-    if "step_s" in told:
-        check_number(f"{key}.step_s", told["step_s"], float("-inf"))
-    return Fault(**told)
+    if "step_s" in raw:
+        check_number(f"{key}.step_s", raw["step_s"], float("-inf"))
+    return Fault(**raw)
 
 
-def read_plan(told: object) -> Plan:
-    """Check a plan; a PlanError names the faulty key."""
-    if not isinstance(told, dict):
+def parse_plan(raw: object) -> Plan:
+    """Parse and validate a plan; a PlanError names the key at fault."""
+    if not isinstance(raw, dict):
         raise PlanError("plan: must be an object")
-    if unknown := sorted(set(told) - {"seed", "faults"}):
+    if unknown := sorted(set(raw) - {"seed", "faults"}):
         raise PlanError(f"{unknown[0]}: is not known; known are faults, seed")
-    seed, faults = told.get("seed", 0), told.get("faults", [])
+    seed, faults = raw.get("seed", 0), raw.get("faults", [])
     if isinstance(seed, bool) or not isinstance(seed, int):
         raise PlanError("seed: must be a whole number")
     if not isinstance(faults, list):
         raise PlanError("faults: must be a list")
-    return Plan(seed, tuple(read_fault(at, each) for at, each in enumerate(faults)))
+    return Plan(seed, tuple(parse_fault(index, item) for index, item in enumerate(faults)))
 
 
 def load_plan(file: Path) -> Plan:
-    """Read a plan from a file."""
+    """Load a plan from a file."""
     try:
-        return read_plan(orjson.loads(file.read_bytes()))
+        return parse_plan(orjson.loads(file.read_bytes()))
     except OSError as error:
         raise PlanError(f"plan: cannot be read: {error}") from None
     except orjson.JSONDecodeError as error:
@@ -123,27 +126,27 @@
 
 
 class Injector:
-    """Decides at each call whether a fault of the plan meets it, and counts those that did."""
+    """Decides at each call which faults of the plan to inject, and counts the injected ones."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.begun = plan, time.monotonic()
+        self.plan, self.started_at = plan, time.monotonic()
         self.random = random.Random(plan.seed)
         self.counts: Counter[str] = Counter()
-        self.by_call = {call: [each for each in plan.faults if each.call == call] for call in CALLS}
+        self.faults_by_call = {call: [fault for fault in plan.faults if fault.call == call] for call in CALLS}
 
-    def active(self, call: str) -> list[Fault]:
-        """Give the faults of a call whose span this is."""
-        if not self.by_call[call]:
+    def active_faults(self, call: str) -> list[Fault]:
+        """Return the faults of a call that are active now."""
+        if not self.faults_by_call[call]:
             return []
-        age = time.monotonic() - self.begun
-        return [each for each in self.by_call[call] if each.begin <= age < each.end]
+        age = time.monotonic() - self.started_at
+        return [fault for fault in self.faults_by_call[call] if fault.begin <= age < fault.end]
 
-    def meet(
+    def inject(
         self, call: str, port: int | None = None, descriptor: int | None = None, path: object = ""
     ) -> int:
-        """Raise or wait as the plan says; gives the most bytes that the call may take, 0 for all."""
-        short = 0
-        for fault in self.active(call):
+        """Raise an error or sleep as planned; return the most bytes the call may transfer, 0 for no limit."""
+        max_bytes = 0
+        for fault in self.active_faults(call):
             if fault.port not in (None, port) or fault.descriptor not in (None, descriptor):
                 continue
             if fault.path is not None and fault.path not in str(path):
@@ -153,40 +156,40 @@
             self.counts[f"{call} {fault.errno or 'held'}"] += 1
             if fault.hold_s:
                 time.sleep(fault.hold_s)
-            if fault.code is not None and fault.code != RETRIED:
-                raise OSError(fault.code, os.strerror(fault.code))
-            short = fault.short or short
-        return short
+            if fault.error_number is not None and fault.error_number != RETRIED_BY_INTERPRETER:
+                raise OSError(fault.error_number, os.strerror(fault.error_number))
+            max_bytes = fault.short or max_bytes
+        return max_bytes
 
-    def step(self) -> float:
-        """Give how far the wall clock is off now, in seconds."""
-        return sum(each.step_s for each in self.active("clock"))
+    def clock_offset(self) -> float:
+        """Return the current offset of the wall clock in seconds."""
+        return sum(fault.step_s for fault in self.active_faults("clock"))
 
 
-def faulty_socket(injector: Injector) -> type[socket.socket]:
-    """Give a class of sockets whose calls meet the plan's faults."""
+def make_socket_class(injector: Injector) -> type[socket.socket]:
+    """Create a socket class that injects the plan's faults into its calls."""
 
     class FaultySocket(socket.socket):
         def __init__(self, family=-1, type=-1, proto=-1, fileno=None) -> None:
             if fileno is None:
-                injector.meet("socket")
+                injector.inject("socket")
             super().__init__(family, type, proto, fileno)
 
         def accept(self):
-            injector.meet("accept")
+            injector.inject("accept")
             return super().accept()
 
         def connect(self, address):
-            injector.meet("connect", port=address[1])
+            injector.inject("connect", port=address[1])
             return super().connect(address)
 
         def send(self, data, *flags):
-            short = injector.meet("send", port=self.peer_port)
-            return super().send(data[:short] if short else data, *flags)
+            max_bytes = injector.inject("send", port=self.peer_port)
+            return super().send(data[:max_bytes] if max_bytes else data, *flags)
 
         def recv(self, size, *flags):
-            if not flags:  # a look at what is there (MSG_PEEK) is no read
-                size = injector.meet("recv", port=self.peer_port) or size
+            if not flags:  # MSG_PEEK consumes nothing
+                size = injector.inject("recv", port=self.peer_port) or size
             return super().recv(size, *flags)
 
         @property
@@ -201,32 +204,32 @@
     return FaultySocket
 
 
-def patched(real: Callable, meet: Callable[..., object]) -> Callable:
-    """Give a function that meets the faults of a call before it makes it."""
+def wrap_call(function: Callable, inject: Callable[..., object]) -> Callable:
+    """Wrap a function so that faults are injected before each call."""
 
-    def call(*arguments, **more):
-        meet(*arguments)
-        return real(*arguments, **more)
+    def wrapper(*arguments, **keywords):
+        inject(*arguments)
+        return function(*arguments, **keywords)
 
-    return call
+    return wrapper
 
 
 def install(plan: Plan | dict) -> Injector:
-    """Wrap the system calls of this process. A plan from JSON is checked first."""
-    injector = Injector(plan if isinstance(plan, Plan) else read_plan(plan))
-    wall, poll = time.time, selectors.DefaultSelector.select
-    socket.socket = faulty_socket(injector)
+    """Wrap the system calls of this process; a plan given as a dict is validated first."""
+    injector = Injector(plan if isinstance(plan, Plan) else parse_plan(plan))
+    real_time, real_select = time.time, selectors.DefaultSelector.select
+    socket.socket = make_socket_class(injector)
 
     def select(self, timeout=None):
-        injector.meet("poll")
-        return poll(self, timeout)
+        injector.inject("poll")
+        return real_select(self, timeout)
 
     selectors.DefaultSelector.select = select
-    time.time = lambda: wall() + injector.step()
-    os.write = patched(os.write, lambda descriptor, *_: injector.meet("write", descriptor=descriptor))
-    os.fsync = patched(os.fsync, lambda *_: injector.meet("fsync"))
-    os.rename = patched(os.rename, lambda *_: injector.meet("rename"))
-    os.replace = patched(os.replace, lambda *_: injector.meet("rename"))
-    io.open = builtins.open = patched(io.open, lambda path, *_: injector.meet("open", path=path))
-    os.open = patched(os.open, lambda path, *_: injector.meet("open", path=path))
+    time.time = lambda: real_time() + injector.clock_offset()
+    os.write = wrap_call(os.write, lambda descriptor, *_: injector.inject("write", descriptor=descriptor))
+    os.fsync = wrap_call(os.fsync, lambda *_: injector.inject("fsync"))
+    os.rename = wrap_call(os.rename, lambda *_: injector.inject("rename"))
+    os.replace = wrap_call(os.replace, lambda *_: injector.inject("rename"))
+    io.open = builtins.open = wrap_call(io.open, lambda path, *_: injector.inject("open", path=path))
+    os.open = wrap_call(os.open, lambda path, *_: injector.inject("open", path=path))
     return injector
--- a/hoplane/lab/partition.py
+++ b/hoplane/lab/partition.py
@@ -1,10 +1,10 @@
-"""A byte-level proxy on loopback whose network path can be partitioned, as a lost route does it.
+"""A byte-level TCP proxy on loopback whose network path can be partitioned, as by a lost route.
 
-While a path is partitioned no byte passes either way and nobody is told. What the two sides wrote waits in
-the system's buffers, as unacknowledged segments wait at a sender. When the path heals, a connection that one
-side reset meanwhile delivers nothing more (a sender that has reset a connection no longer retransmits), while
-one that was closed in the usual way (FIN) delivers all that was written to it, and then its end: that is what
-TCP does with data that is still unacknowledged when its socket is closed."""
+During a partition no byte passes in either direction, and neither side gets an error. Written data stays in
+the system's buffers, as unacknowledged segments do at a sender. After the partition, a connection that one
+side reset meanwhile delivers nothing more, because a sender that has reset a connection doesn't retransmit.
+One that was closed with FIN delivers all data written to it and then its end, as TCP does with data that is
+unacknowledged when its socket is closed."""
 
 from __future__ import annotations
 
@@ -13,106 +13,110 @@
 import socket
 from contextlib import suppress
 
-PIECE = 64 * 1024  # bytes passed on at a time
+CHUNK_SIZE = 64 * 1024  # bytes forwarded at a time
 
 
-def was_reset(end: socket.socket) -> bool:
-    """Tell whether the peer has reset this connection, though bytes of it may still be readable."""
+def was_reset(connection: socket.socket) -> bool:
+    """Return whether the peer has reset this connection, even while received bytes are still readable."""
     poll = select.poll()
-    poll.register(end, 0)
+    poll.register(connection, 0)
     return any(mask & (select.POLLERR | select.POLLNVAL) for _, mask in poll.poll(0))
 
 
-def reset(end: socket.socket) -> None:
-    """Close a connection with a reset, which discards what was not delivered."""
+def reset_connection(connection: socket.socket) -> None:
+    """Close a connection with a reset, which discards undelivered data."""
     with suppress(OSError):
-        end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
-    end.close()
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
+    connection.close()
 
 
-class Partition:
-    """Stands for the server at `target` (HOST:PORT) until it is left as a context manager.
+class PartitionProxy:
+    """A proxy in front of the server at `target` (HOST:PORT), used as an async context manager.
 
-    `cut()` partitions the path for open connections; new ones are accepted and stay silent, too. `heal()`
-    ends that; `reset_all()` breaks every connection with a reset, as a middlebox that lost its state does."""
+    `partition()` stops forwarding on open connections; new ones are accepted, but nothing is forwarded on
+    them either. `heal()` ends the partition. `reset_all()` resets every connection, as a middlebox that lost
+    its state does."""
 
     def __init__(self, target: str) -> None:
         host, port = target.rsplit(":", 1)
         self.target = host, int(port)
-        self.whole = asyncio.Event()  # set while bytes pass
-        self.whole.set()
+        self.path_up = asyncio.Event()  # set while bytes are forwarded
+        self.path_up.set()
         self.connections: set[asyncio.Task] = set()
 
-    async def __aenter__(self) -> Partition:
+    async def __aenter__(self) -> PartitionProxy:
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(512)
         self.listener.setblocking(False)
         self.address = "{}:{}".format(*self.listener.getsockname())
-        self.accepting = asyncio.create_task(self.accept())
+        self.accept_task = asyncio.create_task(self.accept_connections())
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        tasks = [self.accepting, *self.connections]
+        tasks = [self.accept_task, *self.connections]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         self.listener.close()
 
-    def cut(self) -> None:
-        """Partition the path: bytes wait where they are."""
-        self.whole.clear()
+    def partition(self) -> None:
+        """Start a partition; bytes stay in the buffers."""
+        self.path_up.clear()
 
     def heal(self) -> None:
         """End the partition."""
-        self.whole.set()
+        self.path_up.set()
 
     def reset_all(self) -> None:
-        """Reset every open connection, on both sides."""
+        """Reset every open connection on both sides."""
         for task in self.connections:
             task.cancel()
 
-    async def accept(self) -> None:
-        """Take connections and pass their bytes on, each in a task of its own."""
+    async def accept_connections(self) -> None:
+        """Accept connections and forward each in its own task."""
         loop = asyncio.get_running_loop()
         while True:
-            near, _ = await loop.sock_accept(self.listener)
-            near.setblocking(False)
-            task = asyncio.create_task(self.connect(near))
+            client, _ = await loop.sock_accept(self.listener)
+            client.setblocking(False)
+            task = asyncio.create_task(self.forward_connection(client))
             self.connections.add(task)
             task.add_done_callback(self.connections.discard)
 
-    async def connect(self, near: socket.socket) -> None:
-        """Open the far side of a connection once the path is whole, and pass bytes both ways."""
-        far = socket.socket()
-        far.setblocking(False)
-        copies: list[asyncio.Task] = []
-        whole = False
+    async def forward_connection(self, client: socket.socket) -> None:
+        """Connect to the server once the path is up, and forward bytes in both directions."""
+        server = socket.socket()
+        server.setblocking(False)
+        forward_tasks: list[asyncio.Task] = []
+        completed = False
         try:
-            await self.whole.wait()
-            await asyncio.get_running_loop().sock_connect(far, self.target)
-            copies = [asyncio.create_task(self.copy(near, far)), asyncio.create_task(self.copy(far, near))]
-            await asyncio.gather(*copies)
-            whole = True
+            await self.path_up.wait()
+            await asyncio.get_running_loop().sock_connect(server, self.target)
+            forward_tasks = [
+                asyncio.create_task(self.forward_bytes(client, server)),
+                asyncio.create_task(self.forward_bytes(server, client)),
+            ]
+            await asyncio.gather(*forward_tasks)
+            completed = True
         except OSError:
             pass
         finally:
-            # Only once nobody waits on them any more: the system gives their descriptors away again.
-            for task in copies:
+            # Close the sockets only after the tasks have ended: the system reuses their descriptors.
+            for task in forward_tasks:
                 task.cancel()
-            await asyncio.gather(*copies, return_exceptions=True)
-            for end in (near, far):
-                end.close() if whole else reset(end)
+            await asyncio.gather(*forward_tasks, return_exceptions=True)
+            for connection in (client, server):
+                connection.close() if completed else reset_connection(connection)
 
-    async def copy(self, source: socket.socket, sink: socket.socket) -> None:
-        """Pass bytes one way up to the source's end; what waits on a connection that was reset is dropped."""
+    async def forward_bytes(self, source: socket.socket, sink: socket.socket) -> None:
+        """Forward bytes in one direction up to EOF; data buffered on a reset connection is dropped."""
         loop = asyncio.get_running_loop()
         while True:
-            await readable(source)
-            await self.whole.wait()
+            await wait_readable(source)
+            await self.path_up.wait()
             if was_reset(source):
                 raise ConnectionResetError
-            data = await loop.sock_recv(source, PIECE)
+            data = await loop.sock_recv(source, CHUNK_SIZE)
             if not data:
                 with suppress(OSError):
                     sink.shutdown(socket.SHUT_WR)
@@ -120,13 +124,13 @@
             await loop.sock_sendall(sink, data)
 
 
-async def readable(source: socket.socket) -> None:
-    """Wait until bytes, an end or an error can be read."""
+async def wait_readable(source: socket.socket) -> None:
+    """Wait until data, EOF or an error can be read."""
     loop = asyncio.get_running_loop()
-    ready = loop.create_future()
+    future = loop.create_future()
     descriptor = source.fileno()
-    loop.add_reader(descriptor, lambda: ready.done() or ready.set_result(None))
+    loop.add_reader(descriptor, lambda: future.done() or future.set_result(None))
     try:
-        await ready
+        await future
     finally:
         loop.remove_reader(descriptor)
--- a/hoplane/lab/resource.py
+++ b/hoplane/lab/resource.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from .checker import Act
+from .checker import Action
 from .listener import Listener
 
 
@@ -21,7 +21,7 @@
     def __init__(self, name: str, takes: float, fenced: bool) -> None:
         self.name, self.takes, self.fenced = name, takes, fenced
         self.highest = self.refused = 0
-        self.acts: list[Act] = []
+        self.acts: list[Action] = []
         self.sends: list[tuple[float, str]] = []  # requests, by time and whom they came through
         self.failing = False
         self.under: dict[int, int] = {}  # acts under way, by token
@@ -67,7 +67,7 @@
             self.under[token] = self.under.get(token, 0) + 1
         begun = time.monotonic()
         await asyncio.sleep(self.takes)
-        self.acts.append(Act(self.name, holder, token, begun, time.monotonic()))
+        self.acts.append(Action(self.name, holder, token, begun, time.monotonic()))
         async with self.changed:
             self.under[token] -= 1
             if not self.under[token]:
--- a/hoplane/lab/soak.py
+++ b/hoplane/lab/soak.py
@@ -1,4 +1,4 @@
-"""Plays randomized soaks: real conductors under faults that overlap in time, judged by what peers saw."""
+"""Runs randomized soak tests: real conductors under overlapping faults, checked by what peers observed."""
 
 from __future__ import annotations
 
@@ -8,20 +8,29 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .soak_oracle import Problem, Record, judge
-from .soak_plan import PLAY, Event, Plan, draw
-from .soak_world import DRAIN_GRACE, PORT, RELEASE_WITHIN, Agent, Client, Fleet, Process, now
-
-TICK = 0.02  # seconds between two looks at how late this process itself is
-LAG_MOST = 0.6  # seconds: a world that was later than this judges nothing
-CROWD = 360  # idle clients, more than a conductor of 1,024 descriptors takes
-MOST = 60.0  # seconds that a soak may take
-SETTLE = 1.0  # seconds after the last request in which what is held has to go
+from .soak_environment import (
+    DRAIN_GRACE,
+    PORT,
+    RELEASE_WITHIN,
+    Client,
+    ConductorProcess,
+    DiscoveryAgent,
+    Fleet,
+    now,
+)
+from .soak_oracle import SoakRecord, Violation, find_violations
+from .soak_plan import LOAD_DURATION, FaultEvent, SoakPlan, draw_plan
+
+LAG_SAMPLE_INTERVAL = 0.02  # seconds between measurements of this process's event loop lag
+MAX_LAG = 0.6  # seconds of event loop lag, above which the soak is void
+IDLE_CLIENTS = 360  # more than a conductor with 1,024 descriptors accepts
+MAX_DURATION = 60.0  # seconds for a whole soak
+SETTLE_TIME = 1.0  # seconds after the last request, in which all reservations must be released
 
 
 @dataclass(slots=True)
 class Outcome:
-    """What a soak showed."""
+    """The result of a soak."""
 
     seed: int
     conductors: int
@@ -33,160 +42,167 @@
     restarts: int = 0
     lag: float = 0.0
     void: bool = False
-    problems: list[Problem] = field(default_factory=list)
+    problems: list[Violation] = field(default_factory=list)
 
 
-class Soak:
-    """One plan at work."""
+class SoakRunner:
+    """Runs one plan."""
 
-    def __init__(self, plan: Plan, folder: Path) -> None:
+    def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
-        self.record = Record(RELEASE_WITHIN, DRAIN_GRACE)
+        self.record = SoakRecord(RELEASE_WITHIN, DRAIN_GRACE)
         self.fleet = Fleet(plan, self.record)
-        self.processes: list[Process] = []
+        self.processes: list[ConductorProcess] = []
         self.lag = 0.0
-        self.note_broken()
+        self.record_connection_faults()
         self.tasks: set[asyncio.Task] = set()
 
-    def note_broken(self) -> None:
-        """Note whose connections the plan breaks on their own machine: their ends are nobody's fault."""
-        for who, faults in self.plan.call_faults.items():
-            if any(each["call"] in ("send", "recv") and "errno" in each for each in faults):
-                self.record.broken.add(who, 0.0, float("inf"))
+    def record_connection_faults(self) -> None:
+        """Record conductors with injected send or recv errors: their broken connections are no violation."""
+        for conductor, faults in self.plan.call_faults.items():
+            if any(fault["call"] in ("send", "recv") and "errno" in fault for fault in faults):
+                self.record.faulty_conductors.add(conductor, 0.0, float("inf"))
 
     async def run(self) -> Outcome:
-        """Start all, play, end all, and judge."""
-        measuring = asyncio.create_task(self.measure())
+        """Start the environment, run the load, stop everything, and check the record."""
+        lag_task = asyncio.create_task(self.measure_lag())
         await asyncio.gather(*(each.start() for each in self.fleet.endpoints))
         try:
-            await self.begin()
+            await self.start_conductors()
             self.lag = 0.0
-            await self.play()
+            await self.run_load()
         finally:
             for each in self.processes:
                 each.signal(signal.SIGCONT)
                 each.signal(signal.SIGKILL)
             await asyncio.gather(*(each.stop() for each in self.fleet.endpoints))
             await asyncio.gather(*(each.agent.stop() for each in self.processes))
-            measuring.cancel()
+            lag_task.cancel()
         return self.outcome()
 
-    async def begin(self) -> None:
-        """Start the conductors and wait until each takes connections."""
+    async def start_conductors(self) -> None:
+        """Start the conductors and wait until each accepts connections."""
         for number in range(self.plan.conductors):
-            agent = Agent(number, self.fleet)
+            agent = DiscoveryAgent(number, self.fleet)
             await agent.start()
-            self.processes.append(Process(number, self.plan, self.fleet, agent, self.folder))
+            self.processes.append(ConductorProcess(number, self.plan, self.fleet, agent, self.folder))
         await asyncio.gather(*(each.start() for each in self.processes))
-        await asyncio.gather(*(each.ready() for each in self.processes))
+        await asyncio.gather(*(each.wait_ready() for each in self.processes))
 
-    async def play(self) -> None:
-        """Bring the faults about under load, then end every conductor in order."""
-        begun = now()
+    async def run_load(self) -> None:
+        """Inject the faults under load, then terminate every conductor gracefully."""
+        started = now()
         clients = [
             asyncio.create_task(
-                Client(f"{self.plan.seed}-{each.number}-{at}", each, self.plan, self.record).run(begun + PLAY)
+                Client(f"{self.plan.seed}-{each.number}-{index}", each, self.plan, self.record).run(
+                    started + LOAD_DURATION
+                )
             )
             for each in self.processes
-            for at in range(self.plan.clients)
+            for index in range(self.plan.clients_per_conductor)
         ]
         for event in self.plan.events:
-            await asyncio.sleep(max(0.0, begun + event.at - now()))
-            self.spawn(self.strike(event))
+            await asyncio.sleep(max(0.0, started + event.start - now()))
+            self.spawn(self.apply_event(event))
         await asyncio.gather(*clients)
         await asyncio.gather(*self.tasks)
-        await asyncio.sleep(SETTLE)
-        self.record.ended = now()
-        await asyncio.gather(*(each.end() for each in self.processes))
+        await asyncio.sleep(SETTLE_TIME)
+        self.record.ended_at = now()
+        await asyncio.gather(*(each.terminate() for each in self.processes))
 
-    def spawn(self, work) -> None:
-        self.tasks.add(asyncio.create_task(work))
+    def spawn(self, coroutine) -> None:
+        self.tasks.add(asyncio.create_task(coroutine))
 
-    async def strike(self, event: Event) -> None:
-        """Bring one event about, and end it."""
+    async def apply_event(self, event: FaultEvent) -> None:
+        """Apply one event, and revert it after its duration."""
         if event.kind in ("cut", "reset", "errors", "spoilt", "drain"):
-            await self.strike_endpoint(event)
+            await self.apply_endpoint_event(event)
         elif event.kind == "silent":
-            self.fleet.silent = True
-            await asyncio.sleep(event.length)
-            self.fleet.silent = False
+            self.fleet.unresponsive = True
+            await asyncio.sleep(event.duration)
+            self.fleet.unresponsive = False
         else:
-            await self.strike_conductor(event)
+            await self.apply_conductor_event(event)
 
-    async def strike_endpoint(self, event: Event) -> None:
-        endpoint, begun = self.fleet.endpoints[event.target], now()
+    async def apply_endpoint_event(self, event: FaultEvent) -> None:
+        endpoint, started = self.fleet.endpoints[event.target], now()
         if event.kind == "drain":
             self.fleet.drain(event.target)
             return
         if event.kind == "cut":
-            endpoint.path.cut()
-            self.record.cut.add(event.target, begun, begun + event.length + 1)
-            self.record.faulted.add(event.target, begun - 1, begun + event.length + 1)
-            await asyncio.sleep(event.length)
-            endpoint.path.heal()
+            endpoint.proxy.partition()
+            self.record.partitioned_endpoints.add(event.target, started, started + event.duration + 1)
+            self.record.faulty_endpoints.add(event.target, started - 1, started + event.duration + 1)
+            await asyncio.sleep(event.duration)
+            endpoint.proxy.heal()
             return
-        self.record.faulted.add(event.target, begun - 1, begun + event.length + 1)
+        self.record.faulty_endpoints.add(event.target, started - 1, started + event.duration + 1)
         if event.kind == "reset":
-            endpoint.path.reset_all()
+            endpoint.proxy.reset_all()
         elif event.kind == "errors":
-            endpoint.errors_until = begun + event.length
+            endpoint.errors_until = started + event.duration
         else:
-            endpoint.spoilt_until = begun + event.length
+            endpoint.malformed_until = started + event.duration
 
-    async def strike_conductor(self, event: Event) -> None:
+    async def apply_conductor_event(self, event: FaultEvent) -> None:
         process = self.processes[event.target]
         if event.kind == "hup":
             process.signal(signal.SIGHUP)
-        elif event.kind == "second_term" and process.lives[-1].termed is not None:
+        elif event.kind == "second_term" and process.process_records[-1].sigterm_at is not None:
             process.signal(signal.SIGTERM)
         elif event.kind == "pause":
             process.signal(signal.SIGSTOP)
-            await asyncio.sleep(event.length)
+            await asyncio.sleep(event.duration)
             process.signal(signal.SIGCONT)
         elif event.kind == "crowd":
-            await self.crowd(process, event.length)
-        elif event.kind in ("term", "kill") and process.lives[-1].termed is process.lives[-1].killed is None:
-            await (process.end() if event.kind == "term" else process.kill())
+            await self.open_idle_clients(process, event.duration)
+        elif (
+            event.kind in ("term", "kill")
+            and process.process_records[-1].sigterm_at is process.process_records[-1].sigkill_at is None
+        ):
+            await (process.terminate() if event.kind == "term" else process.kill())
             await process.start()
-            await process.ready()
+            await process.wait_ready()
 
-    async def crowd(self, process: Process, length: float) -> None:
-        """Fill a conductor's connections with clients that say nothing."""
-        opened = []
-        for _ in range(CROWD):
+    async def open_idle_clients(self, process: ConductorProcess, duration: float) -> None:
+        """Use up a conductor's connections with idle clients."""
+        connections = []
+        for _ in range(IDLE_CLIENTS):
             try:
-                opened.append(await asyncio.open_connection(process.host, PORT))
+                connections.append(await asyncio.open_connection(process.host, PORT))
             except OSError:
                 break
-        await asyncio.sleep(length)
-        for _, writer in opened:
+        await asyncio.sleep(duration)
+        for _, writer in connections:
             writer.transport.abort()
 
-    async def measure(self) -> None:
-        """Follow how late this process itself is: what it sees is later by so much."""
+    async def measure_lag(self) -> None:
+        """Track the maximum event loop lag of this process, which delays its observations."""
         while True:
-            due = now() + TICK
-            await asyncio.sleep(TICK)
+            due = now() + LAG_SAMPLE_INTERVAL
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL)
             self.lag = max(self.lag, now() - due)
 
     def outcome(self) -> Outcome:
-        asks, record = self.record.asks, self.record
-        record.slack += self.lag
-        found = Outcome(self.plan.seed, self.plan.conductors, len(asks), lag=round(self.lag, 3))
-        found.served = sum(each.status == 200 and each.whole for each in asks)
-        found.refused = sum(each.status in (429, 503) for each in asks)
-        found.failed = sum(each.status not in (0, 200, 429, 503) for each in asks)
-        found.unanswered = sum(each.status == 0 and each.left is None for each in asks)
-        found.restarts = sum(len(lives) - 1 for lives in record.lives.values())
-        found.void = self.lag > LAG_MOST
-        found.problems = judge(record)
-        return found
-
-
-def play(seed: int, conductors: int | None = None, keep: Path | None = None) -> Outcome:
-    """Play one seed in an event loop of its own; logs go to `keep` where it is given."""
-    plan = draw(seed, conductors)
+        requests, record = self.record.requests, self.record
+        record.timing_slack += self.lag
+        result = Outcome(self.plan.seed, self.plan.conductors, len(requests), lag=round(self.lag, 3))
+        result.served = sum(request.status == 200 and request.complete for request in requests)
+        result.refused = sum(request.status in (429, 503) for request in requests)
+        result.failed = sum(request.status not in (0, 200, 429, 503) for request in requests)
+        result.unanswered = sum(
+            request.status == 0 and request.disconnected_at is None for request in requests
+        )
+        result.restarts = sum(len(process_records) - 1 for process_records in record.process_records.values())
+        result.void = self.lag > MAX_LAG
+        result.problems = find_violations(record)
+        return result
+
+
+def run_soak(seed: int, conductors: int | None = None, log_folder: Path | None = None) -> Outcome:
+    """Run one seed in its own event loop; logs are written to `log_folder` if given."""
+    plan = draw_plan(seed, conductors)
     with tempfile.TemporaryDirectory(prefix="hoplane-soak-") as folder:
-        at = Path(folder) if keep is None else keep
-        at.mkdir(parents=True, exist_ok=True)
-        return asyncio.run(asyncio.wait_for(Soak(plan, at).run(), MOST))
+        output_folder = Path(folder) if log_folder is None else log_folder
+        output_folder.mkdir(parents=True, exist_ok=True)
+        return asyncio.run(asyncio.wait_for(SoakRunner(plan, output_folder).run(), MAX_DURATION))
--- a/hoplane/lab/soak_oracle.py
+++ b/hoplane/lab/soak_oracle.py
@@ -1,135 +1,145 @@
-"""Judges a soak by what clients and endpoints saw, with the terms of the platform's protocol page. No I/O."""
+"""The oracle of a soak test: checks what clients and endpoints observed against the protocol. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-LATE = 0.5  # seconds after a request's time, up to which an answer only earns nothing
-AFTER_LEAVING = 0.1  # seconds after a client has gone in which an attempt may still begin
-LEFT_SLACK = 0.15  # seconds that a told time may be over what is left
-HELD_EXTRA = 0.3  # seconds that something may be held longer than the settings say
-EXCUSED_TAKEN = 0.7  # seconds after SIGTERM: what comes until then may be unanswered at SIGKILL
-BAD_CLIENT = 3.0  # seconds within which a bad client has its error or a close
-READ_FOR_SURE = 0.05  # seconds: an end so long after a request's last byte came after it was read
+MAX_LATENESS = 0.5  # seconds after the deadline; a response until then has no value but is no violation
+DISCONNECT_GRACE = 0.1  # seconds after a client disconnected in which an attempt may still start
+TIME_LEFT_TOLERANCE = 0.15  # seconds by which the time left in a call may exceed the actual one
+RESERVATION_TOLERANCE = 0.3  # seconds by which a reservation may exceed the configured limit
+SIGTERM_ACCEPT_WINDOW = 0.7  # seconds after SIGTERM; requests until then may be unanswered at SIGKILL
+STALLED_CLIENT_TIMEOUT = 3.0  # seconds within which a stalled client must get an error or a close
+# Seconds after a request's last byte: a connection that ends later ended after the request had been read.
+CERTAIN_READ_DELAY = 0.05
 
 
 @dataclass(slots=True)
-class Ask:
-    """A request as its client saw it. Times are the machine's monotonic clock, in seconds."""
+class RequestRecord:
+    """A request as its client observed it. Times are in seconds of the machine's monotonic clock."""
 
-    id: str
+    request_id: str
     conductor: int
-    once: bool
-    sent: float  # when its last byte was written
+    at_most_once: bool
+    sent_at: float  # when the last byte was written
     deadline: float
-    status: int = 0  # 0 where no answer came
+    status: int = 0  # 0 without a response
     body: bytes = b""
-    whole: bool = False  # its answer came to the end
-    ended: float = 0.0  # when its answer or its connection was at its end
-    began: bool = False  # the first byte of an answer came
-    reset: bool = False  # the connection ended by a reset
-    left: float | None = None  # when its client closed the connection
+    complete: bool = False  # the response was received to its end
+    ended_at: float = 0.0  # when the response or the connection ended
+    response_started: bool = False  # the first byte of the response was received
+    reset: bool = False  # the connection was reset
+    disconnected_at: float | None = None  # when the client closed the connection
 
 
 @dataclass(slots=True)
-class Arrival:
-    """A call whose last byte reached an endpoint. `told_left`: the time it tells, in seconds."""
+class EndpointCall:
+    """A call that an endpoint received completely. `time_left`: the value of its header, in seconds."""
 
-    at: float
-    begun: float  # when its first byte came
+    received_at: float
+    first_byte_at: float
     endpoint: int
     kind: str  # read, write, hold or release
-    told_left: float | None = None
-    ran: bool = False
+    time_left: float | None = None
+    executed: bool = False
 
 
 @dataclass(slots=True)
-class Trace:
-    """What endpoints saw of one request."""
-
-    arrivals: list[Arrival] = field(default_factory=list)
-    held_since: float | None = None
-    reads_out: int = 0
-    held_for: float = 0.0  # the longest
-    held_at: float = 0.0  # when the longest began
-
-    def note(self, arrival: Arrival) -> None:
-        """Take a call in. A write takes what is held, a release lets go of it."""
-        self.arrivals.append(arrival)
-        if arrival.kind == "read":
-            self.reads_out += 1
-        if arrival.kind == "hold" and self.reads_out == 0:
-            self.hold(arrival.at)
-        if arrival.kind in ("write", "release", "read"):
-            self.free(arrival.at)
-
-    def read_ended(self, at: float) -> None:
-        """Note that a read is over: its state is held from here on."""
-        self.reads_out -= 1
-        self.hold(at)
-
-    def hold(self, at: float) -> None:
-        if self.held_since is None:
-            self.held_since = at
-
-    def free(self, at: float) -> None:
-        if self.held_since is not None and at - self.held_since > self.held_for:
-            self.held_for, self.held_at = at - self.held_since, self.held_since
-        self.held_since = None
+class RequestTrace:
+    """What endpoints observed of one request."""
+
+    calls: list[EndpointCall] = field(default_factory=list)
+    reserved_since: float | None = None
+    reads_in_flight: int = 0
+    longest_reservation: float = 0.0  # seconds
+    longest_reserved_at: float = 0.0  # when the longest reservation started
+
+    def add_call(self, call: EndpointCall) -> None:
+        """Record a call. A write uses the reservation, a release or a further read ends it."""
+        self.calls.append(call)
+        if call.kind == "read":
+            self.reads_in_flight += 1
+        if call.kind == "hold" and self.reads_in_flight == 0:
+            self.start_reservation(call.received_at)
+        if call.kind in ("write", "release", "read"):
+            self.end_reservation(call.received_at)
+
+    def end_read(self, timestamp: float) -> None:
+        """Record the end of a read, whose state is reserved from then on."""
+        self.reads_in_flight -= 1
+        self.start_reservation(timestamp)
+
+    def start_reservation(self, timestamp: float) -> None:
+        if self.reserved_since is None:
+            self.reserved_since = timestamp
+
+    def end_reservation(self, timestamp: float) -> None:
+        if self.reserved_since is not None and timestamp - self.reserved_since > self.longest_reservation:
+            self.longest_reservation, self.longest_reserved_at = (
+                timestamp - self.reserved_since,
+                self.reserved_since,
+            )
+        self.reserved_since = None
 
 
 @dataclass(slots=True)
-class Spans:
-    """Spans of time by target."""
+class TargetIntervals:
+    """Time intervals by target (an endpoint or a conductor)."""
 
-    spans: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
+    intervals: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
 
     def add(self, target: int, begin: float, end: float) -> None:
-        self.spans.setdefault(target, []).append((begin, end))
+        self.intervals.setdefault(target, []).append((begin, end))
 
-    def meets(self, target: int, begin: float, end: float) -> bool:
-        """Tell whether a target has a span that overlaps another one."""
-        return any(first < end and begin < last for first, last in self.spans.get(target, ()))
+    def overlaps(self, target: int, begin: float, end: float) -> bool:
+        """Return whether an interval of a target overlaps the given one."""
+        return any(first < end and begin < last for first, last in self.intervals.get(target, ()))
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRecord:
     """One process of a conductor."""
 
-    started: float
-    ready: float | None = None  # when it accepted connections first
-    termed: float | None = None
-    killed: float | None = None
-    status: int | None = None
-    faults: list[dict] = field(default_factory=list)  # lines of its log that tell of its own faults
+    started_at: float
+    ready_at: float | None = None  # when it first accepted a connection
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
+    exit_status: int | None = None
+    fault_lines: list[dict] = field(default_factory=list)  # log lines that report internal faults
 
 
 @dataclass(slots=True)
-class Record:
-    """All that a soak saw. `slack`: how far this machine's own lateness may move a moment, in seconds."""
+class SoakRecord:
+    """All observations of a soak.
+
+    `timing_slack`: the error of recorded times due to this process's own event loop lag, in seconds."""
 
     release_within: float
     drain_grace: float
-    slack: float = 0.2
-    asks: list[Ask] = field(default_factory=list)
-    traces: dict[str, Trace] = field(default_factory=dict)
-    lives: dict[int, list[Life]] = field(default_factory=dict)
-    drains: list[tuple[int, int, float]] = field(default_factory=list)  # conductor, endpoint, when told
-    faulted: Spans = field(default_factory=Spans)  # endpoints whose path or answers were at fault
-    cut: Spans = field(default_factory=Spans)  # endpoints whose path was cut
-    broken: Spans = field(default_factory=Spans)  # conductors whose connections fail on their own machine
-    stalls: list[tuple[int, float, float]] = field(default_factory=list)  # conductor, when, how long
-    ended: float = 0.0
-
-    def trace(self, id: str) -> Trace:
-        """Give what endpoints saw of a request, from its first call on."""
-        return self.traces.setdefault(id, Trace())
+    timing_slack: float = 0.2
+    requests: list[RequestRecord] = field(default_factory=list)
+    traces: dict[str, RequestTrace] = field(default_factory=dict)
+    process_records: dict[int, list[ProcessRecord]] = field(default_factory=dict)
+    # Conductor, endpoint, and when discovery first reported the drain.
+    drain_notices: list[tuple[int, int, float]] = field(default_factory=list)
+    # Endpoints with an injected fault of their path or responses.
+    faulty_endpoints: TargetIntervals = field(default_factory=TargetIntervals)
+    partitioned_endpoints: TargetIntervals = field(default_factory=TargetIntervals)
+    # Conductors whose connections fail on their own machine.
+    faulty_conductors: TargetIntervals = field(default_factory=TargetIntervals)
+    # Conductor, start and duration of the stall.
+    stalled_clients: list[tuple[int, float, float]] = field(default_factory=list)
+    ended_at: float = 0.0
+
+    def trace(self, request_id: str) -> RequestTrace:
+        """Return the trace of a request; the first call creates it."""
+        return self.traces.setdefault(request_id, RequestTrace())
 
 
 @dataclass(slots=True, frozen=True)
-class Problem:
-    """A broken rule."""
+class Violation:
+    """A violated rule of the protocol."""
 
     rule: str
     text: str
@@ -138,143 +148,197 @@
         return f"{self.rule}: {self.text}"
 
 
-def life_at(record: Record, conductor: int, at: float) -> Life:
-    """Give the process that a conductor had at a moment."""
-    lives = record.lives[conductor]
-    return next((each for each in reversed(lives) if each.started <= at), lives[0])
+def process_at(record: SoakRecord, conductor: int, timestamp: float) -> ProcessRecord:
+    """Return the process that a conductor ran at a time."""
+    process_records = record.process_records[conductor]
+    return next(
+        (process for process in reversed(process_records) if process.started_at <= timestamp),
+        process_records[0],
+    )
+
 
+def excused_by_kill(process: ProcessRecord, sent_at: float, timing_slack: float) -> bool:
+    """Return whether SIGKILL excuses an unanswered request.
 
-def excused_by_end(life: Life, sent: float, slack: float) -> bool:
-    """Tell whether a process's kill excuses a request: an unannounced one, or one that came early enough."""
-    if life.killed is None or sent > life.killed + slack:
+    It does without a preceding SIGTERM, or if the request was sent early enough after that."""
+    if process.sigkill_at is None or sent_at > process.sigkill_at + timing_slack:
         return False
-    return life.termed is None or sent <= life.termed + EXCUSED_TAKEN
+    return process.sigterm_at is None or sent_at <= process.sigterm_at + SIGTERM_ACCEPT_WINDOW
 
 
-def check_answer(record: Record, ask: Ask, trace: Trace) -> Iterable[Problem]:
-    """Check that a request had its one final answer, whole and in time."""
-    life = life_at(record, ask.conductor, ask.sent)
-    if ask.left is not None or excused_by_end(life, ask.sent, record.slack):
+def check_answer(record: SoakRecord, request: RequestRecord, trace: RequestTrace) -> Iterable[Violation]:
+    """Check that a request got exactly one final response, complete and in time."""
+    process = process_at(record, request.conductor, request.sent_at)
+    if request.disconnected_at is not None or excused_by_kill(process, request.sent_at, record.timing_slack):
         return
-    first = record.lives[ask.conductor][0]
-    broken = life is first and record.broken.meets(ask.conductor, ask.sent, ask.ended)
-    forwarded = any(each.kind in ("read", "write") for each in trace.arrivals)
-    if ask.status == 0 and not ask.began:
-        surely_read = not ask.reset and ask.ended - ask.sent > READ_FOR_SURE
-        if (forwarded or surely_read) and not broken:
-            yield Problem("lost", f"{ask.id} had no answer ({ask.ended - ask.sent:.3f} s after it was sent)")
+    first_process = record.process_records[request.conductor][0]
+    conductor_faulty = process is first_process and record.faulty_conductors.overlaps(
+        request.conductor, request.sent_at, request.ended_at
+    )
+    forwarded = any(call.kind in ("read", "write") for call in trace.calls)
+    if request.status == 0 and not request.response_started:
+        certainly_read = not request.reset and request.ended_at - request.sent_at > CERTAIN_READ_DELAY
+        if (forwarded or certainly_read) and not conductor_faulty:
+            yield Violation(
+                "lost",
+                f"{request.request_id}: no response "
+                f"({request.ended_at - request.sent_at:.3f} s after it was sent)",
+            )
         return
-    if ask.status not in (0, 200):
-        if ask.ended > ask.deadline + LATE + record.slack:
-            yield Problem("lost", f"{ask.id} was answered {ask.status} {ask.ended - ask.deadline:.3f} s late")
+    if request.status not in (0, 200):
+        if request.ended_at > request.deadline + MAX_LATENESS + record.timing_slack:
+            yield Violation(
+                "lost",
+                f"{request.request_id}: status {request.status} "
+                f"{request.ended_at - request.deadline:.3f} s after the deadline",
+            )
         return
-    writers = [each for each in trace.arrivals if each.kind == "write"]
-    faulted = any(record.faulted.meets(each.endpoint, each.begun, ask.ended) for each in writers)
-    if not ask.whole and not faulted and not broken:
-        yield Problem("lost", f"{ask.id} had half of an answer")
-    if ask.whole and not sound(ask):
-        yield Problem("lost", f"{ask.id} had a wrong answer: {ask.body[-80:]!r}")
+    writers = [call for call in trace.calls if call.kind == "write"]
+    endpoint_faulty = any(
+        record.faulty_endpoints.overlaps(call.endpoint, call.first_byte_at, request.ended_at)
+        for call in writers
+    )
+    if not request.complete and not endpoint_faulty and not conductor_faulty:
+        yield Violation("lost", f"{request.request_id}: truncated response")
+    if request.complete and not is_valid_stream(request):
+        yield Violation("lost", f"{request.request_id}: malformed response: {request.body[-80:]!r}")
 
 
-def sound(ask: Ask) -> bool:
-    """Tell whether an answer is one endpoint's whole stream for this request."""
-    lines = [line for line in ask.body.decode("latin-1").split("\n") if line.startswith("data: ")]
+def is_valid_stream(request: RequestRecord) -> bool:
+    """Return whether a response is the complete stream of one endpoint for this request."""
+    lines = [line for line in request.body.decode("latin-1").split("\n") if line.startswith("data: ")]
     if len(lines) < 3 or lines[-1] != "data: [DONE]":
         return False
     parts = [line.split('"content":"')[1].split('"')[0].split("/") for line in lines[:-2]]
-    order = [int(part[2]) for part in parts]
+    positions = [int(part[2]) for part in parts]
     return (
-        {part[0] for part in parts} == {ask.id}
+        {part[0] for part in parts} == {request.request_id}
         and len({part[1] for part in parts}) == 1
-        and order == list(range(len(order)))
+        and positions == list(range(len(positions)))
     )
 
 
-def check_sends(record: Record, ask: Ask, trace: Trace) -> Iterable[Problem]:
-    """Check what went to endpoints for a request: not after its client's end, with the time that is left."""
-    for each in trace.arrivals:
-        if each.kind == "release":
+def check_sends(record: SoakRecord, request: RequestRecord, trace: RequestTrace) -> Iterable[Violation]:
+    """Check that no call was sent after the client or the response ended, and that its time left is right."""
+    for call in trace.calls:
+        if call.kind == "release":
             continue
-        if ask.left is not None and each.at > ask.left + AFTER_LEAVING + record.slack:
-            late = each.at - ask.left
-            yield Problem("lost", f"{ask.id}: a {each.kind} arrived {late:.3f} s after its client left")
-        if ask.status and each.at > ask.ended + AFTER_LEAVING + record.slack:
-            late = each.at - ask.ended
-            yield Problem("lost", f"{ask.id}: a {each.kind} arrived {late:.3f} s after its answer")
-        if each.told_left is None or record.cut.meets(each.endpoint, each.at - 5, each.at):
+        if (
+            request.disconnected_at is not None
+            and call.received_at > request.disconnected_at + DISCONNECT_GRACE + record.timing_slack
+        ):
+            lateness = call.received_at - request.disconnected_at
+            yield Violation(
+                "lost",
+                f"{request.request_id}: a {call.kind} arrived {lateness:.3f} s after the client disconnected",
+            )
+        if request.status and call.received_at > request.ended_at + DISCONNECT_GRACE + record.timing_slack:
+            lateness = call.received_at - request.ended_at
+            yield Violation(
+                "lost",
+                f"{request.request_id}: a {call.kind} arrived {lateness:.3f} s after the final response",
+            )
+        if call.time_left is None or record.partitioned_endpoints.overlaps(
+            call.endpoint, call.received_at - 5, call.received_at
+        ):
             continue
-        if each.told_left > ask.deadline - each.begun + LEFT_SLACK + record.slack:
-            left = ask.deadline - each.begun
-            yield Problem("lost", f"{ask.id}: told {each.told_left:.3f} s, {left:.3f} s were left")
-
-
-def check_runs(ask: Ask, trace: Trace) -> Iterable[Problem]:
-    """Check that what must run once ran once, and not at all where it was refused."""
-    runs = sum(each.ran for each in trace.arrivals if each.kind == "write")
-    if ask.once and runs > 1:
-        yield Problem("duplicate", f"{ask.id} ran {runs} times")
-    if ask.once and runs and ask.status in (429, 503):
-        yield Problem("duplicate", f"{ask.id} was refused and has run")
-
-
-def check_held(record: Record, ask: Ask, trace: Trace) -> Iterable[Problem]:
-    """Check that what was held was used or released in time."""
-    if trace.held_since is not None:
-        trace.free(record.ended)
-    life = life_at(record, ask.conductor, ask.sent)
-    if life.killed is not None and trace.held_at + trace.held_for > life.killed - record.slack:
+        if call.time_left > request.deadline - call.first_byte_at + TIME_LEFT_TOLERANCE + record.timing_slack:
+            remaining = request.deadline - call.first_byte_at
+            yield Violation(
+                "lost",
+                f"{request.request_id}: time left in a call was {call.time_left:.3f} s "
+                f"instead of {remaining:.3f} s",
+            )
+
+
+def check_executions(request: RequestRecord, trace: RequestTrace) -> Iterable[Violation]:
+    """Check that an at-most-once request was executed at most once, and not at all if it was refused."""
+    executions = sum(call.executed for call in trace.calls if call.kind == "write")
+    if request.at_most_once and executions > 1:
+        yield Violation("duplicate", f"{request.request_id}: executed {executions} times")
+    if request.at_most_once and executions and request.status in (429, 503):
+        yield Violation("duplicate", f"{request.request_id}: executed although it was refused")
+
+
+def check_reservations(
+    record: SoakRecord, request: RequestRecord, trace: RequestTrace
+) -> Iterable[Violation]:
+    """Check that a reservation was used or released in time."""
+    if trace.reserved_since is not None:
+        trace.end_reservation(record.ended_at)
+    process = process_at(record, request.conductor, request.sent_at)
+    if (
+        process.sigkill_at is not None
+        and trace.longest_reserved_at + trace.longest_reservation > process.sigkill_at - record.timing_slack
+    ):
         return
-    if trace.held_for > record.release_within + HELD_EXTRA + record.slack:
-        yield Problem("pinned", f"{ask.id} was held for {trace.held_for:.3f} s")
+    if trace.longest_reservation > record.release_within + RESERVATION_TOLERANCE + record.timing_slack:
+        yield Violation("pinned", f"{request.request_id}: reserved for {trace.longest_reservation:.3f} s")
 
 
-def check_drains(record: Record) -> Iterable[Problem]:
-    """Check that nothing new went to an endpoint that a conductor had been told drains."""
-    conductors = {ask.id: ask.conductor for ask in record.asks}
-    for conductor, endpoint, told in record.drains:
-        for id, trace in record.traces.items():
-            if conductors.get(id) != conductor:
+def check_drains(record: SoakRecord) -> Iterable[Violation]:
+    """Check that a conductor sent nothing new to an endpoint that discovery had reported as draining."""
+    conductor_by_request = {request.request_id: request.conductor for request in record.requests}
+    for conductor, endpoint, notified_at in record.drain_notices:
+        for request_id, trace in record.traces.items():
+            if conductor_by_request.get(request_id) != conductor:
                 continue
-            for each in trace.arrivals:
-                late = each.begun - told - record.drain_grace - record.slack
-                sent = each.kind in ("read", "write") and each.endpoint == endpoint
-                sent = sent and life_at(record, conductor, each.begun).started <= told
-                if sent and late > 0 and not record.cut.meets(endpoint, each.begun - 5, each.begun):
-                    yield Problem("drain", f"{id} went to endpoint {endpoint} {late:.3f} s after the grace")
-
-
-def check_lives(record: Record) -> Iterable[Problem]:
-    """Check that no process crashed or told of a fault of its own."""
-    for conductor, lives in record.lives.items():
-        for life in lives:
-            if life.status == -15 and life.ready is None:
-                continue  # before the interpreter could heed it; ending after SIGTERM is no crash
-            if life.status not in (None, 0, -9):
-                yield Problem("crash", f"conductor {conductor} ended with {life.status}")
-            if life.status == 0 and life.termed is None:
-                yield Problem("crash", f"conductor {conductor} ended by itself")
-            for line in life.faults[:3]:
-                yield Problem("fault", f"conductor {conductor}: {line}")
-
-
-def check_stalls(record: Record) -> Iterable[Problem]:
-    """Check that clients that stopped in the middle of a request had an error or a close in time."""
-    for conductor, at, length in record.stalls:
-        if length > BAD_CLIENT + record.slack:
-            text = f"a client that stopped midway at conductor {conductor} waited {length:.3f} s ({at:.3f})"
-            yield Problem("lost", text)
-
-
-def judge(record: Record) -> list[Problem]:
-    """Give all broken rules of a soak."""
-    found: list[Problem] = []
-    for ask in record.asks:
-        trace = record.traces.get(ask.id, Trace())
-        found += check_answer(record, ask, trace)
-        found += check_sends(record, ask, trace)
-        found += check_runs(ask, trace)
-        found += check_held(record, ask, trace)
-    found += check_drains(record)
-    found += check_stalls(record)
-    found += check_lives(record)
-    return found
+            for call in trace.calls:
+                lateness = call.first_byte_at - notified_at - record.drain_grace - record.timing_slack
+                is_new_call = call.kind in ("read", "write") and call.endpoint == endpoint
+                is_new_call = (
+                    is_new_call
+                    and process_at(record, conductor, call.first_byte_at).started_at <= notified_at
+                )
+                if (
+                    is_new_call
+                    and lateness > 0
+                    and not record.partitioned_endpoints.overlaps(
+                        endpoint, call.first_byte_at - 5, call.first_byte_at
+                    )
+                ):
+                    yield Violation(
+                        "drain",
+                        f"{request_id}: sent to endpoint {endpoint} "
+                        f"{lateness:.3f} s after the drain grace period",
+                    )
+
+
+def check_exits(record: SoakRecord) -> Iterable[Violation]:
+    """Check that no process crashed or reported an internal fault."""
+    for conductor, process_records in record.process_records.items():
+        for process in process_records:
+            if process.exit_status == -15 and process.ready_at is None:
+                continue  # SIGTERM before the interpreter could install its handler; that is no crash
+            if process.exit_status not in (None, 0, -9):
+                yield Violation("crash", f"conductor {conductor} exited with status {process.exit_status}")
+            if process.exit_status == 0 and process.sigterm_at is None:
+                yield Violation("crash", f"conductor {conductor} exited without SIGTERM")
+            for line in process.fault_lines[:3]:
+                yield Violation("fault", f"conductor {conductor}: {line}")
+
+
+def check_stalled_clients(record: SoakRecord) -> Iterable[Violation]:
+    """Check that clients that stalled within a request got an error or a close in time."""
+    for conductor, started_at, duration in record.stalled_clients:
+        if duration > STALLED_CLIENT_TIMEOUT + record.timing_slack:
+            text = (
+                f"a client that stalled within a request to conductor {conductor} "
+                f"waited {duration:.3f} s ({started_at:.3f})"
+            )
+            yield Violation("lost", text)
+
+
+def find_violations(record: SoakRecord) -> list[Violation]:
+    """Return all violations in a soak."""
+    violations: list[Violation] = []
+    for request in record.requests:
+        trace = record.traces.get(request.request_id, RequestTrace())
+        violations += check_answer(record, request, trace)
+        violations += check_sends(record, request, trace)
+        violations += check_executions(request, trace)
+        violations += check_reservations(record, request, trace)
+    violations += check_drains(record)
+    violations += check_stalled_clients(record)
+    violations += check_exits(record)
+    return violations
--- a/hoplane/lab/soak_plan.py
+++ b/hoplane/lab/soak_plan.py
@@ -1,17 +1,17 @@
-"""Draws a soak from a seed: the fleet, its settings, and faults that overlap in time. No I/O."""
+"""Draws a soak test from a seed: the fleet, its settings, and faults that overlap in time. No I/O."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass, field
 
-PLAY = 7.0  # seconds of load, after all conductors have started
-# SIGKILL follows SIGTERM after the longest deadline, at most `LONGEST`, and `KILL_EXTRA`.
-KILL_EXTRA, LONGEST = 0.7, 3.0
-CUT_SHARE = 0.4  # of the endpoints may be cut off at once: a release has to have somewhere to go
-HOLD = 0.15  # seconds that a conductor may be held up between its clock and its writes
+LOAD_DURATION = 7.0  # seconds, after all conductors have started
+# Seconds from SIGTERM to SIGKILL: the longest deadline, capped at `MAX_KILL_WAIT`, plus `KILL_MARGIN`.
+KILL_MARGIN, MAX_KILL_WAIT = 0.7, 3.0
+MAX_PARTITIONED_SHARE = 0.4  # of the endpoints at the same time; releases need reachable endpoints
+MAX_PROCESS_DELAY = 0.15  # seconds that may pass between a conductor's clock reading and its writes
 
-# Faults of system calls that a conductor's own machine may show for a while, with the share of calls met.
+# Temporary system call faults of a conductor's own machine; `share` is the probability for each call.
 CALL_FAULTS = (
     {"call": "accept", "errno": "ENFILE", "share": 0.8},
     {"call": "accept", "errno": "ECONNABORTED", "share": 0.5},
@@ -24,7 +24,7 @@
     {"call": "recv", "share": 0.5, "short": 7},
     {"call": "recv", "errno": "ETIMEDOUT", "share": 0.01},
     {"call": "send", "errno": "EHOSTUNREACH", "share": 0.01},
-    {"call": "poll", "share": 0.02, "hold_s": HOLD},
+    {"call": "poll", "share": 0.02, "hold_s": MAX_PROCESS_DELAY},
     {"call": "write", "errno": "ENOSPC", "share": 0.7},
     {"call": "write", "errno": "EIO", "share": 0.7},
     {"call": "open", "errno": "EIO", "share": 0.5, "path": ".json"},
@@ -36,87 +36,116 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
-    """Something that begins at a time (seconds of play) and lasts; `target` is an endpoint or a conductor.
+class FaultEvent:
+    """A fault or signal at `start` (seconds of load) for `duration`; `target` is an endpoint or a conductor.
 
-    Kinds: `cut`, `reset`, `errors`, `spoilt` (an endpoint's path or answers), `drain`, `silent` (discovery),
-    `hup`, `term`, `kill`, `pause` (a conductor's signals; `term` is followed by the earliest SIGKILL, and
-    both by a new process), `crowd` (idle clients at a conductor)."""
+    Kinds for an endpoint: `cut` (partition), `reset` (of its connections), `errors`, `spoilt` (malformed
+    responses), `drain`. For discovery: `silent` (no responses). For a conductor: `hup`, `term`,
+    `second_term`, `kill` and `pause` (signals; `term` is followed by the earliest permitted SIGKILL, `term`
+    and `kill` by a restart), `crowd` (idle clients)."""
 
-    at: float
-    length: float
+    start: float
+    duration: float
     kind: str
     target: int = 0
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
-    """One soak."""
+class SoakPlan:
+    """One soak test."""
 
     seed: int
     conductors: int
     readers: int
     writers: int
-    deadline: float  # of the longest class, in seconds
-    clients: int  # of each conductor
-    events: tuple[Event, ...]
+    deadline: float  # the longest of all classes, in seconds
+    clients_per_conductor: int
+    events: tuple[FaultEvent, ...]
     call_faults: dict[int, list[dict]] = field(default_factory=dict)  # by conductor
 
     @property
     def kill_after(self) -> float:
-        """Give the earliest SIGKILL after SIGTERM, in seconds."""
-        return min(self.deadline, LONGEST) + KILL_EXTRA
+        """Return the shortest time from SIGTERM to SIGKILL, in seconds."""
+        return min(self.deadline, MAX_KILL_WAIT) + KILL_MARGIN
 
 
-def overlapping_cuts(rng: random.Random, endpoints: int) -> list[Event]:
-    """Draw cuts of endpoints' paths, of which at most a part of the fleet is cut off at once."""
-    targets = rng.sample(range(endpoints), max(1, int(CUT_SHARE * endpoints)))
-    return [Event(rng.uniform(0, PLAY - 2), rng.uniform(0.4, 2.5), "cut", each) for each in targets]
+def draw_partitions(rng: random.Random, endpoints: int) -> list[FaultEvent]:
+    """Draw partitions of endpoints, limited to a share of the fleet; each endpoint has at most one."""
+    targets = rng.sample(range(endpoints), max(1, int(MAX_PARTITIONED_SHARE * endpoints)))
+    return [
+        FaultEvent(rng.uniform(0, LOAD_DURATION - 2), rng.uniform(0.4, 2.5), "cut", endpoint)
+        for endpoint in targets
+    ]
 
 
-def signals(rng: random.Random, conductors: int) -> list[Event]:
-    """Draw signals: series of SIGHUP, ends with a restart, kills, and pauses, several at one conductor."""
+def draw_signals(rng: random.Random, conductors: int) -> list[FaultEvent]:
+    """Draw series of SIGHUP, SIGTERM and SIGKILL with restarts, and pauses, several at one conductor."""
     events = []
-    for who in rng.sample(range(conductors), max(2, conductors // 3)):
-        at = rng.uniform(0.5, PLAY - 2.5)
-        events.append(Event(at, 0, "term", who))
+    for conductor in rng.sample(range(conductors), max(2, conductors // 3)):
+        start = rng.uniform(0.5, LOAD_DURATION - 2.5)
+        events.append(FaultEvent(start, 0, "term", conductor))
         if rng.random() < 0.5:
-            events += [Event(at + rng.uniform(-0.3, 1.0), 0, "hup", who) for _ in range(rng.randint(1, 4))]
+            events += [
+                FaultEvent(start + rng.uniform(-0.3, 1.0), 0, "hup", conductor)
+                for _ in range(rng.randint(1, 4))
+            ]
         if rng.random() < 0.2:
-            events.append(Event(at + rng.uniform(0, 0.5), 0, "second_term", who))
-    for who in rng.sample(range(conductors), max(1, conductors // 5)):
-        events += [Event(rng.uniform(0, PLAY - 1), 0, "hup", who) for _ in range(rng.randint(1, 3))]
-        events.append(Event(rng.uniform(0, PLAY - 1), rng.uniform(0.05, HOLD), "pause", who))
-    events.append(Event(rng.uniform(1, PLAY - 2), 0, "kill", rng.randrange(conductors)))
+            events.append(FaultEvent(start + rng.uniform(0, 0.5), 0, "second_term", conductor))
+    for conductor in rng.sample(range(conductors), max(1, conductors // 5)):
+        events += [
+            FaultEvent(rng.uniform(0, LOAD_DURATION - 1), 0, "hup", conductor)
+            for _ in range(rng.randint(1, 3))
+        ]
+        events.append(
+            FaultEvent(
+                rng.uniform(0, LOAD_DURATION - 1), rng.uniform(0.05, MAX_PROCESS_DELAY), "pause", conductor
+            )
+        )
+    events.append(FaultEvent(rng.uniform(1, LOAD_DURATION - 2), 0, "kill", rng.randrange(conductors)))
     return events
 
 
-def call_faults(rng: random.Random, conductors: int) -> dict[int, list[dict]]:
-    """Draw faults of system calls for half of the conductors, each in a span of its life."""
-    found: dict[int, list[dict]] = {}
-    for who in rng.sample(range(conductors), conductors // 2):
+def draw_call_faults(rng: random.Random, conductors: int) -> dict[int, list[dict]]:
+    """Draw system call faults for half of the conductors, each for a limited time."""
+    faults_by_conductor: dict[int, list[dict]] = {}
+    for conductor in rng.sample(range(conductors), conductors // 2):
         for fault in rng.sample(CALL_FAULTS, rng.randint(1, 4)):
-            begin = rng.uniform(1.0, PLAY)
-            found.setdefault(who, []).append({**fault, "begin": begin, "end": begin + rng.uniform(0.3, 1.5)})
-    return found
+            begin = rng.uniform(1.0, LOAD_DURATION)
+            faults_by_conductor.setdefault(conductor, []).append(
+                {**fault, "begin": begin, "end": begin + rng.uniform(0.3, 1.5)}
+            )
+    return faults_by_conductor
 
 
-def draw(seed: int, conductors: int | None = None) -> Plan:
-    """Draw a soak."""
+def draw_plan(seed: int, conductors: int | None = None) -> SoakPlan:
+    """Draw the plan of a soak test."""
     rng = random.Random(seed)
-    size = conductors or rng.choice((10, 12, 14, 16, 20))
+    conductor_count = conductors or rng.choice((10, 12, 14, 16, 20))
     readers, writers = rng.randint(3, 6), rng.randint(3, 6)
     endpoints = readers + writers
-    events = overlapping_cuts(rng, endpoints) + signals(rng, size)
-    for kind, most in (("reset", 3), ("errors", 2), ("spoilt", 2), ("drain", 2)):
-        for _ in range(rng.randint(0, most)):
-            at, length, target = rng.uniform(0, PLAY - 1), rng.uniform(0.3, 2), rng.randrange(endpoints)
-            events.append(Event(at, length, kind, target))
+    events = draw_partitions(rng, endpoints) + draw_signals(rng, conductor_count)
+    for kind, max_count in (("reset", 3), ("errors", 2), ("spoilt", 2), ("drain", 2)):
+        for _ in range(rng.randint(0, max_count)):
+            start, duration, target = (
+                rng.uniform(0, LOAD_DURATION - 1),
+                rng.uniform(0.3, 2),
+                rng.randrange(endpoints),
+            )
+            events.append(FaultEvent(start, duration, kind, target))
     if rng.random() < 0.6:
-        events.append(Event(rng.uniform(0, PLAY - 3), rng.uniform(0.5, 3), "silent"))
+        events.append(FaultEvent(rng.uniform(0, LOAD_DURATION - 3), rng.uniform(0.5, 3), "silent"))
     if rng.random() < 0.3:
-        events.append(Event(rng.uniform(0, PLAY - 3), 2.0, "crowd", rng.randrange(size)))
-    ordered = tuple(sorted(events, key=lambda each: (each.at, each.kind, each.target)))
-    return Plan(
-        seed, size, readers, writers, rng.choice((0.4, 0.8, 1.5, 4.0)), 2, ordered, call_faults(rng, size)
+        events.append(
+            FaultEvent(rng.uniform(0, LOAD_DURATION - 3), 2.0, "crowd", rng.randrange(conductor_count))
+        )
+    ordered = tuple(sorted(events, key=lambda event: (event.start, event.kind, event.target)))
+    return SoakPlan(
+        seed,
+        conductor_count,
+        readers,
+        writers,
+        rng.choice((0.4, 0.8, 1.5, 4.0)),
+        2,
+        ordered,
+        draw_call_faults(rng, conductor_count),
     )
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hoplane.lab import drill
-from hoplane.lab.checker import Act, problems
+from hoplane.lab.checker import Action, find_violations
 from hoplane.lab.schedule import Fault, Schedule, draw
 
 TTL = drill.TTL
@@ -66,7 +66,7 @@
 def test_without_etcd_leader_tasks_stop_and_requests_continue(tmp_path):
     found = drill.play(Schedule("gone", 2, 6, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),)))
     assert found.problems == []
-    acts = sorted(act.begun for act in found.acts)
+    acts = sorted(act.started for act in found.acts)
     longest_gap = max(b - a for a, b in zip(acts, acts[1:], strict=False))
     assert longest_gap > 1.5, "no action while etcd is unreachable"
     lost = [line["reason"] for line in found.events if line["event"] == "lease_lost"]
@@ -82,24 +82,24 @@
     assert len(won) == len(lost) >= 1 and lost[0]["reason"] == "stopped"
 
 
-def act(who, token, begun, ended, resource="r"):
-    return Act(resource, who, token, begun, ended)
+def action(holder, token, started, ended, resource="r"):
+    return Action(resource, holder, token, started, ended)
 
 
 @pytest.mark.parametrize(
-    ("acts", "everywhere", "count"),
+    ("actions", "across_resources", "count"),
     [
-        ([act("a", 1, 0, 2), act("b", 2, 2, 3)], True, 0),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3)], False, 1),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], False, 0),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], True, 1),
-        ([act("a", 1, 0, 5), act("a", 1, 1, 2), act("b", 2, 3, 4)], False, 1),
-        ([act("b", 2, 0, 1), act("a", 1, 2, 3)], False, 1),
-        ([act("a", 1, 0, 2), act("a", 2, 1, 3)], False, 1),
+        ([action("a", 1, 0, 2), action("b", 2, 2, 3)], True, 0),
+        ([action("a", 1, 0, 2), action("b", 2, 1, 3)], False, 1),
+        ([action("a", 1, 0, 2), action("b", 2, 1, 3, "other")], False, 0),
+        ([action("a", 1, 0, 2), action("b", 2, 1, 3, "other")], True, 1),
+        ([action("a", 1, 0, 5), action("a", 1, 1, 2), action("b", 2, 3, 4)], False, 1),
+        ([action("b", 2, 0, 1), action("a", 1, 2, 3)], False, 1),
+        ([action("a", 1, 0, 2), action("a", 2, 1, 3)], False, 1),
     ],
 )
-def test_checker_finds_overlapping_actions_and_decreasing_tokens(acts, everywhere, count):
-    assert len(problems(acts, everywhere)) == count
+def test_checker_finds_overlapping_actions_and_decreasing_tokens(actions, across_resources, count):
+    assert len(find_violations(actions, across_resources)) == count
 
 
 def test_a_seed_draws_the_same_schedule_and_unfenced_schedules_have_only_faults_within_the_safety_margin():
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -15,7 +15,7 @@
 
 from hoplane.lab import faults
 from hoplane.lab.__main__ import lab
-from hoplane.lab.partition import Partition
+from hoplane.lab.partition import PartitionProxy
 
 
 @asynccontextmanager
@@ -24,8 +24,8 @@
     async with (
         Server(read) as reader,
         Server(write) as writer,
-        Partition(reader.address) as to_reader,
-        Partition(writer.address) as to_writer,
+        PartitionProxy(reader.address) as to_reader,
+        PartitionProxy(writer.address) as to_writer,
     ):
         entries = [entry("r1", to_reader.address, "prefill"), entry("w1", to_writer.address, "decode")]
         async with platform(tmp_path, entries, **options) as program:
@@ -72,7 +72,7 @@
     async def test():
         async with partitioned(tmp_path) as program:
             for path in program.paths:
-                path.cut()
+                path.partition()
             await abandon(program)
             await asyncio.sleep(0.5)
             for path in program.paths:
@@ -162,7 +162,7 @@
 
     async def test():
         async with partitioned(tmp_path, write=write) as program:
-            program.paths[0].cut()
+            program.paths[0].partition()
             _, client = await program.connect()
             client.write(chat("q"))
             (_, writer) = program.servers
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short, seeded soak of real processes under overlapping faults; `hoplane.lab soak` plays more."""
+"""A short, seeded soak test of real processes under overlapping faults; `hoplane.lab soak` runs more."""
 
 import pytest
 
@@ -7,6 +7,8 @@
 
 @pytest.mark.parametrize("seed", [2, 5, 7, 12])
 def test_no_rule_is_broken_by_ten_conductors_under_faults_that_overlap(seed):
-    found = soak.play(seed, conductors=10)
-    assert [str(each) for each in found.problems] == []
-    assert found.served > found.asks / 4 and found.restarts, "it was a soak under load"
+    outcome = soak.run_soak(seed, conductors=10)
+    assert [str(each) for each in outcome.problems] == []
+    assert outcome.served > outcome.asks / 4 and outcome.restarts, (
+        "the conductors ran under load and were restarted"
+    )
