--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -629,9 +629,9 @@
 
 
 def build_release(state: ConductorState, request: Request) -> ev.Release:
-    """Build the release: first at endpoints of the request that answered, then at the last one tried.
+    """Build the release: at endpoints of the request that answered, then the last one if it was abandoned.
 
-    Endpoints that could not be reached are left out: trying each in turn would use up the time."""
+    Other endpoints of it could not be reached, and trying each of them in turn would use up the time."""
     held_since, request.held_since = request.held_since, None
     last_abandoned = [attempt.server for attempt in request.attempts[-1:] if attempt.abandon_status]
     answered = [attempt.server for attempt in reversed(request.attempts) if attempt.answered]
