--- a/hoplane/__main__.py
+++ b/hoplane/__main__.py
@@ -7,7 +7,7 @@
 
 def start() -> int:
     """Heed signals, and only then load what takes half of a start: their defaults would end the process."""
-    signals.note()
+    signals.install_early_handlers()
     from hoplane.conductor import main
 
     return main(sys.argv[1:])
--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -51,11 +51,11 @@
         self.watching = asyncio.create_task(self.watch.watch())
         server = self.front.server
         self.operator = config.operator and Operator(
-            config.operator, self.unready, self.figures, server.leave, server.join
+            config.operator, self.unready, self.figures, server.start_drain, server.cancel_drain
         )
         shared = config.inherited is not None and config.scratch is not None
         self.beside_path = self.fleet_parts()
-        self.handover = shared and Handover(config.scratch, lambda: server.open, server.give_way)
+        self.handover = shared and Handover(config.scratch, lambda: server.open_requests, server.hand_over)
 
     def fleet_parts(self) -> list:  # imported here, as the platform's run has none and should not load them
         """Give this process's part in what the fleet does together, beside the request path."""
@@ -81,7 +81,9 @@
         server = self.front.server
         if server.ready:
             return "the process before is finishing" if self.handover and self.handover.waiting else None
-        return "stopping" if server.stopping else "draining" if server.leaving is not None else "starting"
+        return (
+            "stopping" if server.stopping else "draining" if server.draining_since is not None else "starting"
+        )
 
     def figures(self) -> dict[str, object]:
         """Give the figures of the conductors of this process, summed where there are several."""
@@ -143,8 +145,8 @@
         self.unread = 0
         self.watch, self.watching = watch, asyncio.create_task(watch.watch())
         self.front.server.resize(new.limits)
-        self.pool.most = new.limits.upstreams
-        self.pool.watch(new.discovery)
+        self.pool.max_sockets = new.limits.upstreams
+        self.pool.set_discovery(new.discovery)
         self.front.retune(new.settings)
         known = (*configuration.RELOADED, *configuration.IGNORED)
         wait = [
@@ -174,25 +176,25 @@
     async def serve(self) -> None:
         """Serve until a signal asks for the end, and then to the end of what was taken."""
         stop = asyncio.Event()
-        signals.heed_end(stop.set)
+        signals.on_shutdown_signal(stop.set)
         await self.watch.first()
         if not stop.is_set():
             await self.work(stop)
         signals.ignore_reload()
         self.watching.cancel()
         await self.pool.close()
-        log.say("stopped", **self.pool.tally.line())
+        log.say("stopped", **self.pool.counters.log_fields())
 
     async def work(self, stop: asyncio.Event) -> None:
         """Take clients from here on until the end is asked for, and finish what was taken."""
-        signals.heed_reload(self.reload)
+        signals.on_reload_signal(self.reload)
         await self.front.server.start()
         if self.operator:
             await self.operator.start()
         gc.collect()
         gc.freeze()  # what lives from the start to the end need not be looked at again and again
         log.say("started", name=self.config.name, listen="{}:{}".format(*self.config.listen), pid=os.getpid())
-        beside = [asyncio.create_task(self.tidy()), asyncio.create_task(self.pool.tally.tell())]
+        beside = [asyncio.create_task(self.tidy()), asyncio.create_task(self.pool.counters.log_regularly())]
         if self.handover:
             beside.append(asyncio.create_task(self.handover.run()))
         for part in self.beside_path:
@@ -200,7 +202,7 @@
         await stop.wait()
         for part in self.beside_path:
             await part.leave()
-        log.say("stopping", open=self.front.server.open)
+        log.say("stopping", open=self.front.server.open_requests)
         await self.front.server.stop()
         if self.operator:
             self.operator.stop()
@@ -223,7 +225,7 @@
 def load_patiently(file: Path | None) -> Config:
     """Read the configuration, again where it cannot be read for a moment; raises a ConfigError."""
     for _ in range(START_TRIES):
-        signals.noted.clear()  # the file that we read now is newer
+        signals.pending_reloads.clear()  # the file that we read now is newer
         try:
             return configuration.load(os.environ, file)
         except Unreadable:
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -17,10 +17,10 @@
 from hoplane.core.events import Asked, Forward, Listed, Reloaded
 from hoplane.core.invariants import Violation
 from hoplane.decision.interface import ClassSettings, Effect, Role, Settings, State, Status
+from hoplane.net.interface import Call, HeadOutcome
 from hoplane.net.pool import Pool
 from hoplane.net.runtime import Runtime
-from hoplane.net.server import MARGIN, Server, advice, target
-from hoplane.net.wire import Call, Verdict
+from hoplane.net.server import DEADLINE_MARGIN, Server, request_target, retry_after_headers
 
 MODEL = re.compile(r"/v2/models/([^/]+)(?:/versions/[^/]+)?(/ready|/infer)?")
 LIVE = "/v2/health/live"
@@ -38,7 +38,7 @@
     """Give an error as v2 words it."""
     response = web.Response(
         status=status,
-        headers=advice(pause),
+        headers=retry_after_headers(pause),
         body=orjson.dumps({"error": text}),
         content_type="application/json",
     )
@@ -98,7 +98,7 @@
         name,
         fact(told, "prompt_len", int, size // 4),
         fact(told, "max_out", int, 256),
-        max(timedelta(), min(patience, LONGEST) - MARGIN),
+        max(timedelta(), min(patience, LONGEST) - DEADLINE_MARGIN),
         fact(told, "session", str, None),
         fact(told, "prefix", str, None),
         fact(told, "prefix_len", int, 0),
@@ -108,25 +108,25 @@
     )
 
 
-def read_head(status: int, headers: Mapping[str, str]) -> Verdict:
+def read_head(status: int, headers: Mapping[str, str]) -> HeadOutcome:
     """Tell what an endpoint's answer means; what is not known for sure may have run."""
     if headers.get(NOT_RUN) == "1":
-        return Verdict(Status.FULL)
+        return HeadOutcome(Status.FULL)
     if status == 200 or (status in PASSED and status not in NOT_PASSED):
-        return Verdict(None)
-    return Verdict(Status.ERROR)
+        return HeadOutcome(None)
+    return HeadOutcome(Status.ERROR)
 
 
 class WholeSink:
     """Passes an answer on once it is whole."""
 
-    whole = True
+    buffered = True
 
     def __init__(self) -> None:
         self.done: asyncio.Future = asyncio.get_running_loop().create_future()
         self.status, self.headers, self.data = 200, {}, b""
 
-    def sound(self, data: bytes) -> bool:
+    def is_complete(self, data: bytes) -> bool:
         """Tell whether an answer is all there: one that ends with its connection tells no length."""
         try:
             json_part(self.headers, data)
@@ -155,21 +155,21 @@
     """One client's request on this front."""
 
     def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
-        self.asked, self.body, self.path = asked, body, target(request)
+        self.asked, self.body, self.path = asked, body, request_target(request)
         self.headers = {name: request.headers[name] for name in KEPT_HEADERS if name in request.headers}
         self.sink, self.caller = WholeSink(), request.protocol
 
     @property
-    def gone(self) -> bool:
-        return self.caller.gone
+    def disconnected(self) -> bool:
+        return self.caller.disconnected
 
     def call(self, forward: Forward) -> Call:
         return Call("POST", self.path, self.headers, self.body)
 
-    def told(self, left: timedelta) -> Mapping[str, str]:
+    def time_headers(self, left: timedelta) -> Mapping[str, str]:
         return {}
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
         self.sink.status = status
         self.sink.headers = {name: headers[name] for name in KEPT_HEADERS if name in headers}
         return read_head(status, headers)
@@ -192,14 +192,14 @@
         self.config, self.pool = config, pool
         self.classes = {cls.name: cls for cls in config.settings.classes}
         self.server = Server(config, self.handle, problem)
-        self.server.door.report = self.report
+        self.server.http_server.report_violation = self.report_violation
         self.models: dict[str, Runtime] = {}
         self.numbers = count(1)
 
-    def report(self, violation: Violation) -> None:
+    def report_violation(self, violation: Violation) -> None:
         """Count what should never happen to a client's connection, which belongs to no model."""
         for runtime in self.runtimes[:1]:
-            runtime.report(violation)
+            runtime.report_violation(violation)
 
     def retune(self, settings: Settings) -> None:
         """Take requests of the new classes from now on; those taken keep their rules."""
@@ -248,14 +248,14 @@
             ready = self.ready(runtime)
             return answer({"name": found[1], "ready": ready}, 200 if ready else 503)
         if not infer:
-            return await self.metadata(runtime, target(request))
-        size = self.server.size(request)
-        if not self.server.bodies.take(size):
+            return await self.metadata(runtime, request_target(request))
+        body_size = self.server.body_size(request)
+        if not self.server.bodies.reserve(body_size):
             return problem(503, "too much at once", self.later, close=True)
         try:
             return await self.infer(runtime, request)
         finally:
-            self.server.bodies.give(size)
+            self.server.bodies.release(body_size)
 
     def about(self, path: str) -> web.Response:
         """Tell of the server as a whole."""
--- a/hoplane/fronts/operator.py
+++ b/hoplane/fronts/operator.py
@@ -21,7 +21,7 @@
 import orjson
 
 from hoplane import log
-from hoplane.net.aio import listening
+from hoplane.net.aiohttp_internals import bound_socket
 
 WAIT = timedelta(seconds=0.8)  # for a whole line: an answer is owed within 1 s
 LINE_MOST = 256
@@ -44,7 +44,7 @@
         self.listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        made = listening(*self.address)
+        made = bound_socket(*self.address)
         self.listener = await asyncio.get_running_loop().create_server(lambda: Line(self), sock=made)
         made.listen(OPEN_MOST)
 
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -17,10 +17,18 @@
 from hoplane.config import Config, ConfigError, text
 from hoplane.core.events import Asked, Closing, Endpoint, Forward, Listed, Reloaded, Turned
 from hoplane.decision.interface import Settings, State, Status
-from hoplane.net.aio import waited
+from hoplane.net.aiohttp_internals import time_since_last_received
+from hoplane.net.interface import Call, HeadOutcome
 from hoplane.net.runtime import Runtime
-from hoplane.net.server import MARGIN, Relay, Server, StreamSink, advice, problem, target
-from hoplane.net.wire import Call, Verdict
+from hoplane.net.server import (
+    DEADLINE_MARGIN,
+    AbortableResponse,
+    Server,
+    StreamSink,
+    error_response,
+    request_target,
+    retry_after_headers,
+)
 
 CHAT, READY = "/v1/chat/completions", "/health/ready"
 LIVE, STATS = "/health/live", "/stats"  # at endpoints
@@ -123,7 +131,7 @@
         cls,
         lengths["prompt_len"],
         lengths["max_out"],
-        max(timedelta(), timedelta(milliseconds=int(left)) - MARGIN),
+        max(timedelta(), timedelta(milliseconds=int(left)) - DEADLINE_MARGIN),
         session or None,
         prefix or None,
         lengths["prefix_len"],
@@ -133,17 +141,17 @@
     )
 
 
-def read_head(status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+def read_head(status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
     """Tell what an endpoint's answer means; what is not known for sure may have run."""
     load = read_load(headers.get(LOAD, ""))
     unprocessed = headers.get(NOT_RUN) == "1"
     if status == 200:
-        return Verdict(None, 0, load)
+        return HeadOutcome(None, 0, load)
     if status == 202:
-        return Verdict(Status.MISS, cached(body), load)
+        return HeadOutcome(Status.MISS, cached(body), load)
     if unprocessed and status in (410, 503, 504):
-        return Verdict(Status.FULL, int(status == 410), load)
-    return Verdict(Status.ERROR, 0, load)
+        return HeadOutcome(Status.FULL, int(status == 410), load)
+    return HeadOutcome(Status.ERROR, 0, load)
 
 
 def cached(data: bytes) -> int:
@@ -157,26 +165,28 @@
 
     def __init__(self, request: web.BaseRequest, asked: Asked, body: bytes) -> None:
         self.asked, self.body = asked, body
-        self.method, self.path = request.method, target(request)
+        self.method, self.path = request.method, request_target(request)
         self.headers = {"Content-Type": "application/json"}
         self.headers.update({name: request.headers[name] for name in PASSED if name in request.headers})
         self.done: asyncio.Future = asyncio.get_running_loop().create_future()
-        response = Relay(headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"})
+        response = AbortableResponse(
+            headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
+        )
         response.enable_chunked_encoding()
         self.response = response
         self.sink = StreamSink(request, response, self.done)
 
     @property
-    def gone(self) -> bool:
-        return self.sink.request.protocol.gone
+    def disconnected(self) -> bool:
+        return self.sink.request.protocol.disconnected
 
     def call(self, forward: Forward) -> Call:
         return Call(self.method, self.path, {**self.headers, ID: self.asked.id}, self.body)
 
-    def told(self, left: timedelta) -> Mapping[str, str]:
+    def time_headers(self, left: timedelta) -> Mapping[str, str]:
         return {LEFT_MS: str(max(1, left // timedelta(milliseconds=1)))}
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> Verdict:
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
         return read_head(status, headers, body)
 
     def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
@@ -185,10 +195,10 @@
         return cached(tail), read_load(lines[-1]) if lines else {}
 
     def refuse(self, pause: timedelta | None) -> None:
-        self.answer(web.Response(status=503, headers=advice(pause), text="refused\n"))
+        self.answer(web.Response(status=503, headers=retry_after_headers(pause), text="refused\n"))
 
     def fail(self, clash: bool) -> None:
-        self.answer(problem(409, "this id is in use") if clash else problem(502, "failed"))
+        self.answer(error_response(409, "this id is in use") if clash else error_response(502, "failed"))
 
     def answer(self, response: web.Response) -> None:
         if not self.done.done():
@@ -201,31 +211,31 @@
     def __init__(self, config: Config, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
         self.know(config.settings)
-        self.server, self.runtimes = Server(config, self.handle, problem), [runtime]
-        self.server.move = self.move
-        self.server.door.report = runtime.report
+        self.server, self.runtimes = Server(config, self.handle, error_response), [runtime]
+        self.server.break_off = self.break_off
+        self.server.http_server.report_violation = runtime.report_violation
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request."""
         if request.path == READY:
             return web.Response(status=200 if self.server.ready else 503)
         if request.path != CHAT:
-            return problem(404, "unknown path", close=True)
+            return error_response(404, "unknown path", close=True)
         if request.method != "POST":
-            return problem(405, "only POST", close=True)
+            return error_response(405, "only POST", close=True)
         try:
             asked = read_asked(request.headers, self.classes, self.tenants)
         except ValueError as error:
-            return problem(400, str(error), close=True)
-        size = self.server.size(request)
-        if not self.server.bodies.take(size):
+            return error_response(400, str(error), close=True)
+        body_size = self.server.body_size(request)
+        if not self.server.bodies.reserve(body_size):
             return self.turned(asked, self.busy())
         try:
             return await self.chat(request, asked)
         finally:
-            self.server.bodies.give(size)
+            self.server.bodies.release(body_size)
 
-    def move(self, part: float) -> None:
+    def break_off(self, part: float) -> None:
         """Break off a part of what is open, the newest first: it has the longest way to go."""
         ids = list(self.runtime.exchanges)
         for id in ids[len(ids) - ceil(part * len(ids)) :]:
@@ -249,7 +259,7 @@
     def busy(self) -> web.Response:
         """Refuse before a limit is met."""
         pause = timedelta(seconds=1) if self.runtime.state.settings.retry_after else None
-        response = web.Response(status=503, headers=advice(pause), text="too much at once\n")
+        response = web.Response(status=503, headers=retry_after_headers(pause), text="too much at once\n")
         response.force_close()
         return response
 
@@ -260,20 +270,22 @@
             return self.turned(asked, body)
         try:
             if not isinstance(orjson.loads(body), dict):
-                return self.turned(asked, problem(400, "the body must be a JSON object", close=True))
+                return self.turned(asked, error_response(400, "the body must be a JSON object", close=True))
         except orjson.JSONDecodeError:
-            return self.turned(asked, problem(400, "the body is not JSON", close=True))
+            return self.turned(asked, error_response(400, "the body is not JSON", close=True))
         if denial := self.server.may_start():
             log.seldom("request_denied", request=asked.id, reason=denial.value)
             return self.turned(asked, self.busy())
         runtime = self.runtime
         if asked.id in runtime.exchanges:
-            return self.turned(asked, problem(409, "this id is in use"))
+            return self.turned(asked, error_response(409, "this id is in use"))
         if len(runtime.exchanges) >= self.config.max_open:
             return self.turned(asked, self.busy())
         # The client's time runs since its last byte came, not since we came to read it.
-        asked = replace(asked, patience=max(timedelta(), asked.patience - waited(request.transport)))
+        asked = replace(
+            asked, patience=max(timedelta(), asked.patience - time_since_last_received(request.transport))
+        )
         exchange = Exchange(request, asked, body)
-        if self.server.stopping or self.server.leaving is not None:
+        if self.server.stopping or self.server.draining_since is not None:
             exchange.response.force_close()
         return await runtime.serve(exchange, exchange.done)
--- a/hoplane/lab/__main__.py
+++ b/hoplane/lab/__main__.py
@@ -153,7 +153,7 @@
         raise click.UsageError(str(error)) from None
     from hoplane.conductor import main
 
-    signals.note()
+    signals.install_early_handlers()
     raise SystemExit(main(list(arguments)))
 
 
--- a/hoplane/net/clock.py
+++ b/hoplane/net/clock.py
@@ -1,4 +1,4 @@
-"""The conductor's clock: it starts at the wall's time and runs on monotonically."""
+"""The conductor's clock: it starts at the wall-clock time and continues monotonically."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Clock:
-    """Guards against wall-clock steps: timers run monotonically, yet `since_ms` compares with them."""
+    """A clock for timers that wall-clock steps do not affect, yet comparable with `since_ms`."""
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> timedelta:
-        """Give the time since the epoch, as if the wall clock was never set since the start."""
+        """Return the time since the epoch, as if the wall clock had not been set since the start."""
         return timedelta(seconds=self.offset + time.monotonic())
 
     def loop_time(self, moment: timedelta) -> float:
-        """Give a moment as the event loop counts time, which is the monotonic clock."""
+        """Convert a time to the event loop's time, which is the monotonic clock."""
         return moment.total_seconds() - self.offset
--- /dev/null
+++ b/hoplane/net/counters.py
@@ -0,0 +1,26 @@
+"""Counts what this conductor costs the fleet, and logs the counts regularly."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections import Counter
+from datetime import timedelta
+
+from hoplane import log
+
+LOG_INTERVAL = timedelta(seconds=10)  # between two log lines; each holds the counts since the start
+
+
+class Counters(Counter):
+    """Events since the start, by name; docs/fleet.md describes each name."""
+
+    def log_fields(self) -> dict[str, object]:
+        """Return the counts as fields of a log line, with the processor time used."""
+        return {**dict(sorted(self.items())), "cpu_ms": round(time.process_time() * 1000)}
+
+    async def log_regularly(self) -> None:
+        """Log the counts regularly: one conductor's cost is small, only the sum over a fleet tells much."""
+        while True:
+            await asyncio.sleep(LOG_INTERVAL.total_seconds())
+            log.say("tally", **self.log_fields())
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -104,7 +104,7 @@
         path, (wait, patience) = "/registry/instances", self.pacing.call()
         if self.index is not None:
             path += f"?since={self.index}&timeout_ms={wait // timedelta(milliseconds=1)}"
-        self.pool.tally["lists" if self.index is None else "watches"] += 1
+        self.pool.counters["lists" if self.index is None else "watches"] += 1
         try:
             async with asyncio.timeout(patience.total_seconds()):
                 async with self.pool.request("GET", self.address, path) as answer:
@@ -112,9 +112,9 @@
             if answer.status != 200:
                 raise ValueError(f"status {answer.status}")
             if not self.outdated:
-                self.pool.tally["list_lines"] += self.take(orjson.loads(body))
+                self.pool.counters["list_lines"] += self.take(orjson.loads(body))
         except Exception as error:
-            self.pool.tally["watches_failed"] += 1
+            self.pool.counters["watches_failed"] += 1
             # Guards against an answer of any form that would end the watch, and with it the list, unseen.
             if not self.failing:
                 log.say("discovery_lost", error=repr(error))
--- a/hoplane/net/listener.py
+++ b/hoplane/net/listener.py
@@ -1,8 +1,9 @@
-"""Accepts clients' connections from one listening socket, whatever `accept` fails with meanwhile.
+"""Accepts client connections from one listening socket, and survives failures of `accept`.
 
-asyncio's own server takes its listener out of the loop for a second when the system is out of descriptors or
-memory, puts it back even though it was closed meanwhile, and does not finish connections that it accepted in
-the pass in which it is closed. Clients wait at the listener for that second, or are reset at a stop."""
+asyncio's own server stops accepting for a second when the system is out of descriptors or memory, resumes
+even if it was closed meanwhile, and drops connections that it accepted in the pass in which it is closed.
+Clients would wait in the accept queue for that second, or be reset during a shutdown.
+"""
 
 from __future__ import annotations
 
@@ -14,59 +15,63 @@
 from hoplane import log
 from hoplane.core.transient import EXHAUSTED
 
-ACCEPT_MOST = 16  # connections accepted in one pass, so that a flood does not take all descriptors at once
-BACKLOG = 512  # connections that may wait to be accepted
-# Where the system is out of something, another try follows after this, doubled up to the most.
-RETRY, RETRY_MOST = timedelta(milliseconds=2), timedelta(milliseconds=20)
-WAITING_MOST = timedelta(milliseconds=300)  # that a close goes on to accept what waits, where accept fails
+MAX_ACCEPTS_PER_PASS = 16  # so that a flood does not take all descriptors at once
+BACKLOG = 512  # length of the accept queue
+# Delay before another attempt when system resources are exhausted, doubled up to the maximum.
+RETRY_DELAY, MAX_RETRY_DELAY = timedelta(milliseconds=2), timedelta(milliseconds=20)
+# For which a close keeps accepting queued connections while accept fails.
+CLOSE_TIMEOUT = timedelta(milliseconds=300)
 
 
 class Listener:
-    """Accepts from `listening` and gives each connection to a protocol made by `factory`."""
+    """Accepts from `listening_socket` and hands connections to protocols created by `protocol_factory`."""
 
-    def __init__(self, listening: socket.socket, factory: Callable[[], asyncio.Protocol]) -> None:
-        self.listening, self.factory = listening, factory
+    def __init__(
+        self, listening_socket: socket.socket, protocol_factory: Callable[[], asyncio.Protocol]
+    ) -> None:
+        self.listening_socket, self.protocol_factory = listening_socket, protocol_factory
         self.loop = asyncio.get_running_loop()
-        self.failures = 0  # in a row, of the kind that passes with time
-        self.retry: asyncio.TimerHandle | None = None
-        self.adopting: set[asyncio.Task] = set()
+        self.failures = 0  # consecutive, for lack of system resources
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.pending_transports: set[asyncio.Task] = set()
         self.closed = False
 
     def start(self) -> None:
-        """Listen, and accept from now on."""
-        self.listening.setblocking(False)
-        self.listening.listen(BACKLOG)
+        """Start listening and accepting."""
+        self.listening_socket.setblocking(False)
+        self.listening_socket.listen(BACKLOG)
         self.resume()
 
     def resume(self) -> None:
-        """Accept whenever a connection waits."""
-        self.retry = None
+        """Accept whenever a connection is pending."""
+        self.retry_timer = None
         if self.closed:
             return
-        self.loop.add_reader(self.listening, self.accept)
+        self.loop.add_reader(self.listening_socket, self.accept_batch)
 
-    def accept(self) -> None:
-        """Accept some of what waits; the loop comes back while more does."""
-        if self.closed:  # this call was scheduled in the pass in which it was closed
+    def accept_batch(self) -> None:
+        """Accept a batch of pending connections; the loop calls again while more are pending."""
+        if self.closed:  # this call was scheduled before the close, in the same pass of the loop
             return
-        for _ in range(ACCEPT_MOST):
+        for _ in range(MAX_ACCEPTS_PER_PASS):
             try:
-                connection = self.take()
+                connection = self.accept_one()
             except OSError:
                 self.pause()
                 return
             if connection is None:
                 return
-            self.adopt(connection)
+            self.create_transport(connection)
 
-    def take(self) -> socket.socket | None:
-        """Accept one connection, None where none waits. An OSError tells that the system is out of something.
+    def accept_one(self) -> socket.socket | None:
+        """Accept one connection, or return None if none is pending.
 
-        Any other failure is that of the connection ahead (Linux passes its pending errors on through accept):
-        the next one is tried."""
+        Raises OSError when system resources are exhausted. Any other failure belongs to the connection at the
+        head of the queue (Linux reports its pending errors through accept), so the next one is tried.
+        """
         for _ in range(BACKLOG):
             try:
-                connection, _ = self.listening.accept()
+                connection, _ = self.listening_socket.accept()
             except BlockingIOError:
                 return None
             except OSError as error:
@@ -79,52 +84,52 @@
         return None
 
     def pause(self) -> None:
-        """Leave what waits where it is for a moment: the loop would only come back at once."""
-        self.loop.remove_reader(self.listening)
-        delay = min(RETRY * 2 ** min(self.failures, 8), RETRY_MOST)
+        """Stop accepting for a moment; the loop would otherwise call again at once."""
+        self.loop.remove_reader(self.listening_socket)
+        delay = min(RETRY_DELAY * 2 ** min(self.failures, 8), MAX_RETRY_DELAY)
         self.failures += 1
-        self.retry = self.loop.call_later(delay.total_seconds(), self.resume)
+        self.retry_timer = self.loop.call_later(delay.total_seconds(), self.resume)
 
-    def adopt(self, connection: socket.socket) -> None:
-        """Make a transport of an accepted connection."""
+    def create_transport(self, connection: socket.socket) -> None:
+        """Create a transport for an accepted connection."""
         connection.setblocking(False)
-        task = self.loop.create_task(self.loop.connect_accepted_socket(self.factory, connection))
-        self.adopting.add(task)
-        task.add_done_callback(lambda task: self.adopted(task, connection))
+        task = self.loop.create_task(self.loop.connect_accepted_socket(self.protocol_factory, connection))
+        self.pending_transports.add(task)
+        task.add_done_callback(lambda task: self.transport_created(task, connection))
 
-    def adopted(self, task: asyncio.Task, connection: socket.socket) -> None:
-        """Note that a connection is in use, or close it where that failed."""
-        self.adopting.discard(task)
+    def transport_created(self, task: asyncio.Task, connection: socket.socket) -> None:
+        """Close the connection if its transport could not be created."""
+        self.pending_transports.discard(task)
         if task.cancelled() or task.exception() is not None:
             log.seldom("connection_broke", error=repr(None if task.cancelled() else task.exception()))
             connection.close()
 
-    async def close(self, take_waiting: bool) -> None:
-        """Accept no more. `take_waiting`: what waits is accepted first, as its requests may have come."""
+    async def close(self, accept_pending: bool) -> None:
+        """Stop accepting; with `accept_pending`, first accept what is queued: requests may have arrived."""
         if self.closed:
             return
         self.closed = True
-        self.loop.remove_reader(self.listening)
-        if self.retry is not None:
-            self.retry.cancel()
-        if take_waiting:
-            await self.take_all()
-        self.listening.close()
-        if self.adopting:
-            await asyncio.wait(list(self.adopting))
-
-    async def take_all(self) -> None:
-        """Accept all that waits, and go on for a while where the system is out of something."""
-        until = self.loop.time() + WAITING_MOST.total_seconds()
+        self.loop.remove_reader(self.listening_socket)
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+        if accept_pending:
+            await self.accept_all()
+        self.listening_socket.close()
+        if self.pending_transports:
+            await asyncio.wait(list(self.pending_transports))
+
+    async def accept_all(self) -> None:
+        """Accept all pending connections, retrying for a while when system resources are exhausted."""
+        give_up_at = self.loop.time() + CLOSE_TIMEOUT.total_seconds()
         for _ in range(BACKLOG):
             try:
-                connection = self.take()
+                connection = self.accept_one()
             except OSError:
-                if self.loop.time() >= until:
-                    log.say("listener_abandoned", listen=repr(self.listening.getsockname()))
+                if self.loop.time() >= give_up_at:
+                    log.say("listener_abandoned", listen=repr(self.listening_socket.getsockname()))
                     return
-                await asyncio.sleep(RETRY.total_seconds())
+                await asyncio.sleep(RETRY_DELAY.total_seconds())
                 continue
             if connection is None:
                 return
-            self.adopt(connection)
+            self.create_transport(connection)
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: aiohttp's client with its defaults set for this protocol."""
+"""HTTP client for endpoints: aiohttp's client, configured for this protocol."""
 
 from __future__ import annotations
 
@@ -17,179 +17,187 @@
 
 from hoplane.config import Config
 from hoplane.core.transient import OWN_MACHINE
-from hoplane.net.aio import Connector, never_resend
-from hoplane.net.tally import Tally
+from hoplane.net.aiohttp_internals import Connector, disable_resend
+from hoplane.net.counters import Counters
 
-READ_AHEAD = 16 * 1024  # bytes taken from an endpoint before a slow client has taken them
-LAST_BYTE = timedelta(milliseconds=5)  # a round trip to another data centre takes half of that
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # a struct linger: on, for 0 s
-IDLE_SHARE = 0.5  # of the endpoints' idle time: what is written to a connection later may end as a reset
+READ_BUFFER_BYTES = 16 * 1024  # read from an endpoint before a slow client has taken them
+LAST_BYTE_DELAY = timedelta(milliseconds=5)  # twice the round trip to another data centre
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: enabled, 0 s
+IDLE_TIMEOUT_FRACTION = 0.5  # of the endpoints' idle timeout: later writes may meet a reset
 
 
-def failed_here(error: Exception) -> bool:
-    """Tell whether a connection failed on our own machine, which tells nothing of its endpoint."""
+def is_local_failure(error: Exception) -> bool:
+    """Return whether a connection failed because of this machine, which says nothing about its endpoint."""
     return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in OWN_MACHINE
 
 
-class Drained(aiohttp.ClientConnectionError):
-    """A call that we held back as it was to go; see `Sending`."""
+class SendDeniedError(aiohttp.ClientConnectionError):
+    """A call that was withheld as it was about to be sent; see `SendGate`."""
 
 
-class Sending(asyncio.Event):
-    """Decides, as each part of a call is handed to the system, whether it may go; set as the last part goes.
+class SendGate(asyncio.Event):
+    """Decides whether each part of a call may be sent as it is handed to the system.
 
-    `may` is asked before every part, `spend` once, before the first. `told` gives the headers that tell of
-    the moment in which the head goes. `denied` is true where a call was held back."""
+    `may_send` is called before every part, `spend` once, before the first. `time_headers` returns the headers
+    that depend on when the head is sent. `denied` is true if a call was withheld. The event is set when the
+    last part is sent.
+    """
 
     def __init__(
         self,
-        may: Callable[[], bool] = lambda: True,
-        told: Callable[[], Mapping[str, str]] = dict,
+        may_send: Callable[[], bool] = lambda: True,
+        time_headers: Callable[[], Mapping[str, str]] = dict,
         spend: Callable[[], bool] = lambda: True,
     ) -> None:
         super().__init__()
-        self.may, self.told, self.spend = may, told, spend
+        self.may_send, self.time_headers, self.spend = may_send, time_headers, spend
         self.denied = self.spent = False
         self.has_body = False  # a head without a body is the whole call
 
     def check(self) -> None:
-        """End the call here, with nothing of this part written, where it may not go."""
-        allowed = not self.denied and self.may() and (self.spent or self.spend())
+        """Raise SendDeniedError, with nothing of this part written, if it may not be sent."""
+        allowed = not self.denied and self.may_send() and (self.spent or self.spend())
         self.spent = True
         if not allowed:
             self.denied = True
-            raise Drained("held back: its endpoint drains, its client has left, its time or budget is over")
+            raise SendDeniedError(
+                "not sent: the endpoint drains, the client left, or the deadline or budget is exceeded"
+            )
 
-    def go(self) -> None:
-        """Let the last bytes go, or end the call here."""
+    def allow_last(self) -> None:
+        """Allow the last bytes to be sent, or raise SendDeniedError."""
         self.check()
         self.set()
 
 
 class Pool:
-    """A client session that never waits for a connection, resends nothing and counts its sockets."""
+    """A client session that never queues for a connection, never resends, and limits its sockets."""
 
     def __init__(self, config: Config) -> None:
-        self.most, self.sockets = config.limits.upstreams, WeakSet()
-        self.tally = Tally()
-        # Guards against aiohttp's total of 100, past which attempts would wait unseen: we count ourselves.
+        self.max_sockets, self.sockets = config.limits.upstreams, WeakSet()
+        self.counters = Counters()
+        # aiohttp's default limit of 100 would queue attempts without notice; the pool counts sockets itself.
         self.connector = Connector(
             limit=0,
-            keepalive_timeout=(config.conn_idle * IDLE_SHARE).total_seconds(),
+            keepalive_timeout=(config.conn_idle * IDLE_TIMEOUT_FRACTION).total_seconds(),
             use_dns_cache=False,
             happy_eyeballs_delay=None,
-            socket_factory=self.open,
+            socket_factory=self.open_socket,
         )
-        self.watch(config.discovery)
+        self.set_discovery(config.discovery)
         trace = TraceConfig(trace_config_ctx_factory=lambda trace_request_ctx=None: trace_request_ctx)
-        trace.on_request_headers_sent.append(self.head)
-        trace.on_request_chunk_sent.append(self.sent)
-        # Guards against a total time-out of five minutes, which would cut long streams, and inflating.
+        trace.on_request_headers_sent.append(self.on_headers_sent)
+        trace.on_request_chunk_sent.append(self.on_chunk_sent)
+        # The default total timeout of five minutes would cut long streams, and inflating would change bodies.
         self.session = aiohttp.ClientSession(
             connector=self.connector,
             timeout=aiohttp.ClientTimeout(total=None, sock_connect=config.connect_timeout.total_seconds()),
             auto_decompress=False,
             trace_configs=[trace],
-            read_bufsize=READ_AHEAD,
+            read_bufsize=READ_BUFFER_BYTES,
             cookie_jar=aiohttp.DummyCookieJar(),
             skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding"),
         )
-        never_resend(self.session)
+        disable_resend(self.session)
 
-    def watch(self, address: tuple[str, int] | None) -> None:
-        """Take an address as discovery's: its descriptors are spare ones, and a watch never rests."""
+    def set_discovery(self, address: tuple[str, int] | None) -> None:
+        """Set discovery's address: it has reserved descriptors, and its connections are reused at once."""
         self.discovery = address
-        self.connector.at_once = "{}:{}".format(*address) if address else ""
+        self.connector.immediate_reuse_address = "{}:{}".format(*address) if address else ""
 
-    def open(self, info: tuple) -> socket.socket:
-        """Make a socket, unless that would take more than our part of the descriptors.
+    def open_socket(self, info: tuple) -> socket.socket:
+        """Create a socket within the pool's share of the descriptors.
 
-        Guards against a watch that cannot come back while attempts that hang hold all of that part."""
+        Discovery is exempt, so that its watch can reconnect while hanging attempts hold the whole share.
+        """
         if self.discovery is not None and tuple(info[4][:2]) == self.discovery:
-            return self.made(info)
-        if len(self.sockets) >= self.most:
-            # Guards against counting closed ones, which stay in memory till a garbage collection.
+            return self.create_socket(info)
+        if len(self.sockets) >= self.max_sockets:
+            # Closed sockets stay in memory until a garbage collection and must not count.
             self.sockets = WeakSet(each for each in self.sockets if each.fileno() >= 0)
-        # A dropped one closes a moment later, so one new connection may go before it.
-        if len(self.sockets) >= self.most and not self.connector.drop_idle():
-            raise OSError(errno.EMFILE, "no socket is left for another connection")
-        made = self.made(info)
-        self.sockets.add(made)
-        return made
-
-    def made(self, info: tuple) -> socket.socket:
-        """Make a socket whose close recalls what has not arrived.
-
-        By default the system goes on delivering what it holds after a close, and after the process's end: a
-        request that was given up while its path was silent would arrive once the path heals. With a linger
-        time of 0 a close is a reset, which discards it. Closed connections carry nothing else: an answer is
-        read to its end first."""
-        made = socket.socket(*info[:3])
-        self.tally["connections"] += 1
+        # An idle connection closes a moment later, so one new connection may be opened before that.
+        if len(self.sockets) >= self.max_sockets and not self.connector.close_idle():
+            raise OSError(errno.EMFILE, "the pool has no socket left for another connection")
+        sock = self.create_socket(info)
+        self.sockets.add(sock)
+        return sock
+
+    def create_socket(self, info: tuple) -> socket.socket:
+        """Create a socket whose close discards undelivered data.
+
+        By default the kernel goes on delivering buffered data after a close, and after the process's end: an
+        abandoned request on an unresponsive path would arrive once the path recovers. With a linger time of 0
+        a close is a reset, which discards the data. Nothing else is lost, as responses are read to their end
+        first.
+        """
+        sock = socket.socket(*info[:3])
+        self.counters["connections"] += 1
         with suppress(OSError):
-            made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with suppress(OSError):
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        return made
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        return sock
 
     @staticmethod
-    async def held_back(body: bytes, sent: Sending) -> AsyncIterator[bytes]:
-        """Give a body whose last byte goes a moment after all else; `sent` is set as it goes.
+    async def delay_last_byte(body: bytes, gate: SendGate) -> AsyncIterator[bytes]:
+        """Yield a body whose last byte is delayed; `gate` is set as that byte is sent.
 
-        Guards a request that must not run twice against a connection that was closed or reset unseen: it
-        shows in that moment, while the request cannot have run and may go out again."""
+        For a request that must not run twice: if the connection was closed or reset unnoticed, this shows
+        during the delay, while the request cannot have run and may be sent again.
+        """
         yield body[:-1]
-        await asyncio.sleep(LAST_BYTE.total_seconds())
-        sent.go()
+        await asyncio.sleep(LAST_BYTE_DELAY.total_seconds())
+        gate.allow_last()
         yield body[-1:]
 
     @staticmethod
-    async def head(session: object, context: Sending | None, params: object) -> None:
-        """Let a call's head go, with what it tells of the moment in which it does."""
+    async def on_headers_sent(session: object, context: SendGate | None, params: object) -> None:
+        """Check that a call's head may be sent, and add the headers that depend on the time."""
         if context is None:
             return
         context.check()
         if not context.has_body:
             context.set()
-        params.headers.update(context.told())
+        params.headers.update(context.time_headers())
 
     @staticmethod
-    async def sent(session: object, context: Sending | None, params: object) -> None:
-        """Let a part of a call's body go, the head with the first. What may not go ends here, unwritten.
+    async def on_chunk_sent(session: object, context: SendGate | None, params: object) -> None:
+        """Check that a part of a call's body, the first with the head, may be sent; else it stays unwritten.
 
-        aiohttp writes a body in a task of its own, so that a client may leave or a drain be told after the
-        head was checked; nothing of either has been written by then."""
+        aiohttp writes a body in a task of its own, so a client may disconnect or a drain be reported after
+        the head was checked; nothing has been written by then.
+        """
         if context is not None and not context.is_set():
-            context.go()
+            context.allow_last()
 
-    def request(self, method: str, address: str, path: str, sent: Sending | None = None, **more):
-        """Send a call; `sent` decides as its bytes go. A POST has an effect, so it needs one."""
-        if sent is not None:
-            sent.has_body = more.get("data") is not None
+    def request(self, method: str, address: str, path: str, gate: SendGate | None = None, **more):
+        """Send a call; `gate` decides as its bytes are sent. A POST has side effects, so it needs one."""
+        if gate is not None:
+            gate.has_body = more.get("data") is not None
         elif method == "POST":
-            raise ValueError(f"POST {path}: needs somebody to decide whether it may go")
-        # Guards against yarl writing a path or query anew: it passes on as it came.
+            raise ValueError(f"POST {path}: a POST needs a send gate")
+        # `encoded` keeps yarl from normalizing the path and query: they are passed on unchanged.
         url = URL(f"http://{address}{path}", encoded=True)
-        return self.session.request(method, url, allow_redirects=False, trace_request_ctx=sent, **more)
+        return self.session.request(method, url, allow_redirects=False, trace_request_ctx=gate, **more)
 
-    async def get(self, address: str, path: str, within: timedelta) -> tuple[int, bytes] | None:
-        """Fetch a short text and give its status with it, None where it did not come."""
+    async def get(self, address: str, path: str, time_limit: timedelta) -> tuple[int, bytes] | None:
+        """Fetch a short text and return its status with it, or None if there was no response."""
         try:
-            async with asyncio.timeout(within.total_seconds()):
-                async with self.request("GET", address, path) as answer:
-                    return answer.status, await answer.read()
+            async with asyncio.timeout(time_limit.total_seconds()):
+                async with self.request("GET", address, path) as response:
+                    return response.status, await response.read()
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
     async def call(
-        self, method: str, address: str, path: str, within: timedelta, sent: Sending | None = None
+        self, method: str, address: str, path: str, time_limit: timedelta, gate: SendGate | None = None
     ) -> int | None:
-        """Make a call without a body and give the answer's status, None where none came."""
+        """Make a call without a body and return the response's status, or None if there was none."""
         try:
-            async with asyncio.timeout(within.total_seconds()):
-                async with self.request(method, address, path, sent) as answer:
-                    await answer.read()
-                    return answer.status
+            async with asyncio.timeout(time_limit.total_seconds()):
+                async with self.request(method, address, path, gate) as response:
+                    await response.read()
+                    return response.status
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
 
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -1,4 +1,4 @@
-"""Passes endpoints' answers on to clients: streams event by event, other answers once they are whole."""
+"""Passes endpoints' responses on to clients: streams event by event, others once they are complete."""
 
 from __future__ import annotations
 
@@ -12,99 +12,100 @@
 from hoplane import log
 from hoplane.core import events as ev
 from hoplane.decision.interface import Status
-from hoplane.net.aio import Spoilt
-from hoplane.net.server import Bodies
-from hoplane.net.wire import Exchange, Sink
+from hoplane.net.aiohttp_internals import MalformedResponseError
+from hoplane.net.interface import Exchange, Sink
+from hoplane.net.server import MemoryBudget
 
-HEAD_MOST = 64 * 1024  # bytes read of an answer that is not a stream
-TAIL = 2048  # bytes kept of a stream's end, where usage and the load report stand
-SHORT_WAIT = timedelta(seconds=1)  # for the body of an answer that is no stream
-QUIET = timedelta(seconds=4.8)  # without an event: a client must not be left waiting for 5 s
+MAX_SHORT_RESPONSE_BYTES = 64 * 1024  # read of a response that is not a stream
+TAIL_BYTES = 2048  # kept of a stream's end, which holds usage and the load report
+SHORT_RESPONSE_TIMEOUT = timedelta(seconds=1)  # for the body of a response that is not a stream
+EVENT_TIMEOUT = timedelta(seconds=4.8)  # without an event: clients give up after 5 s
 
 
-def framed(answer: aiohttp.ClientResponse) -> bool:
-    """Tell whether an answer's end is told, so that one cut short can be known."""
-    return "Transfer-Encoding" in answer.headers or "Content-Length" in answer.headers
+def has_framing(response: aiohttp.ClientResponse) -> bool:
+    """Return whether a response's framing shows its end, so that a truncated one can be detected."""
+    return "Transfer-Encoding" in response.headers or "Content-Length" in response.headers
 
 
-def spoilt(effect: ev.Forward, error: Exception) -> Status:
-    """Tell of an answer that cannot be read: the endpoint is up, and the request may have run."""
+def log_malformed(effect: ev.Forward, error: Exception) -> Status:
+    """Log a malformed response: the endpoint is up, and the request may have run."""
     log.seldom("answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200])
     return Status.ERROR
 
 
-async def read_short(answer: aiohttp.ClientResponse) -> bytes | None:
-    """Read an answer that is no stream; None where it cannot be read to its end."""
+async def read_short_response(response: aiohttp.ClientResponse) -> bytes | None:
+    """Read a response that is not a stream; return None if it cannot be read to its end."""
     data = b""
     with suppress(aiohttp.ClientError, OSError, TimeoutError, RuntimeError):
-        async with asyncio.timeout(SHORT_WAIT.total_seconds()):
-            while len(data) <= HEAD_MOST:
-                if not (part := await answer.content.readany()):
+        async with asyncio.timeout(SHORT_RESPONSE_TIMEOUT.total_seconds()):
+            while len(data) <= MAX_SHORT_RESPONSE_BYTES:
+                if not (piece := await response.content.readany()):
                     return data
-                data += part
+                data += piece
     return None
 
 
 class Relay:
-    """Passes answers on within the memory for them; `feed` takes the event that one has begun."""
+    """Passes responses on within a memory budget; `feed` receives the event that a response has begun."""
 
-    def __init__(self, answers: Bodies, feed: Callable[[ev.Event], None]) -> None:
-        self.answers, self.feed = answers, feed
+    def __init__(self, response_memory: MemoryBudget, feed: Callable[[ev.Event], None]) -> None:
+        self.response_memory, self.feed = response_memory, feed
 
-    async def relay(self, effect: ev.Forward, exchange: Exchange, answer: aiohttp.ClientResponse):
-        """Pass a stream on, event by event as they come; a break is the client's too once one has gone.
+    async def relay(self, effect: ev.Forward, exchange: Exchange, response: aiohttp.ClientResponse):
+        """Pass a stream on event by event; once an event was sent, a failure also breaks the client's stream.
 
-        Guards against passing on as good what a spoilt piece holds: an event goes out once it is whole."""
+        An event is sent only when it is complete, so that no part of a malformed one is passed on.
+        """
         sink, tail, began = exchange.sink, b"", False
-        if sink.whole:
-            return await self.relay_whole(effect, sink, answer)
-        sink.begin()
+        if sink.buffered:
+            return await self.relay_buffered(effect, sink, response)
+        sink.reset()
         try:
             last = False
             while not last:
-                async with asyncio.timeout(QUIET.total_seconds() if began else None):
-                    while not (data := sink.take(part := await answer.content.readany())) and part:
-                        pass  # a piece of an event is no sign of life: the quiet time runs on
-                last = not part
+                async with asyncio.timeout(EVENT_TIMEOUT.total_seconds() if began else None):
+                    while not (data := sink.push(piece := await response.content.readany())) and piece:
+                        pass  # a partial event is no sign of life: the timeout keeps running
+                last = not piece
                 if last:
-                    data = sink.rest(framed=answer.content.at_eof() and framed(answer))
+                    data = sink.flush(has_framing=response.content.at_eof() and has_framing(response))
                 if not data:
                     continue
                 if not began:
                     began = True
                     self.feed(ev.Began(effect.id, effect.attempt))
                     await sink.start()
-                tail = (tail + data)[-TAIL:]
+                tail = (tail + data)[-TAIL_BYTES:]
                 await sink.write(data)
             if not began:
-                raise Spoilt("a stream with no event")
+                raise MalformedResponseError("the stream contains no event")
         except asyncio.CancelledError:
             if began:
                 sink.abort()
             raise
         except Exception as error:
-            # Guards against errors of any kind that would leave a client to wait on a stream that has ended.
+            # Any other error must be handled too, or the client would wait on a stream that has ended.
             if began:
                 sink.abort()
-            if isinstance(error, Spoilt | ValueError):
-                return spoilt(effect, error), tail
+            if isinstance(error, MalformedResponseError | ValueError):
+                return log_malformed(effect, error), tail
             if not isinstance(error, aiohttp.ClientError | OSError | TimeoutError):
                 log.say("relay_broke", error=repr(error))
             return Status.RESET, tail
         await sink.finish()
         return Status.OK, tail
 
-    async def relay_whole(self, effect: ev.Forward, sink: Sink, answer: aiohttp.ClientResponse):
-        """Pass an answer on once it is whole."""
+    async def relay_buffered(self, effect: ev.Forward, sink: Sink, response: aiohttp.ClientResponse):
+        """Pass a response on once it is complete."""
         try:
-            data = await self.read_whole(answer, sink)
-        except Spoilt as error:
-            return spoilt(effect, error), b""
+            data = await self.read_buffered(response, sink)
+        except MalformedResponseError as error:
+            return log_malformed(effect, error), b""
         except (aiohttp.ClientError, OSError, TimeoutError, RuntimeError):
             return Status.RESET, b""
         if data is None:
             return Status.ERROR, b""
-        if not sink.sound(data):
+        if not sink.is_complete(data):
             return Status.RESET, b""
         self.feed(ev.Began(effect.id, effect.attempt))
         await sink.start()
@@ -112,15 +113,15 @@
         await sink.finish()
         return Status.OK, data
 
-    async def read_whole(self, answer: aiohttp.ClientResponse, sink: Sink) -> bytes | None:
-        """Read an answer to its end within the memory for answers, None where it is too much."""
+    async def read_buffered(self, response: aiohttp.ClientResponse, sink: Sink) -> bytes | None:
+        """Read a complete response within the memory budget, or return None if it is too large."""
         data = bytearray()
-        while part := await answer.content.readany():
-            # Guards against endpoints that answer more, all together, than the limit on memory allows.
-            if not self.answers.take(len(part)):
-                self.answers.give(len(data))
+        while piece := await response.content.readany():
+            # The sum of all responses must not exceed the memory limit.
+            if not self.response_memory.reserve(len(piece)):
+                self.response_memory.release(len(data))
                 log.seldom("answer_too_large", read=len(data))
                 return None
-            data += part
-        sink.done.add_done_callback(lambda done: self.answers.give(len(data)))
+            data += piece
+        sink.done.add_done_callback(lambda done: self.response_memory.release(len(data)))
         return bytes(data)
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -22,14 +22,14 @@
 from hoplane.core.reducer import Conductor, steps
 from hoplane.decision.interface import KEPT, Status
 from hoplane.decision.rules import Router
-from hoplane.net.aio import Spoilt, Stale
+from hoplane.net.aiohttp_internals import MalformedResponseError, StaleConnectionError
 from hoplane.net.clock import Clock
-from hoplane.net.pool import Drained, Pool, Sending, failed_here
-from hoplane.net.relay import Relay, read_short, spoilt
+from hoplane.net.interface import Exchange
+from hoplane.net.pool import Pool, SendDeniedError, SendGate, is_local_failure
+from hoplane.net.relay import Relay, log_malformed, read_short_response
 from hoplane.net.releases import Releases
-from hoplane.net.server import Bodies
+from hoplane.net.server import MemoryBudget
 from hoplane.net.start_times import StartTimes
-from hoplane.net.wire import Exchange
 
 UNHEARD = timedelta(milliseconds=500)  # an attempt given up after this casts doubt on kept connections
 PROBE_WAIT = timedelta(milliseconds=300)  # it is answered beside the queue, or the machine is gone
@@ -75,15 +75,15 @@
         self.state = Conductor(config.settings, Router(config.settings, config.seed), ledger)
         self.live_path, self.hold_path, self.read_report = live_path, hold_path, read_report
         self.loop = asyncio.get_running_loop()
-        self.answers = Bodies(config.limits.bodies)
-        self.relay = Relay(self.answers, self.feed)
+        self.response_memory = MemoryBudget(config.limits.bodies)
+        self.relay = Relay(self.response_memory, self.feed)
         self.exchanges: dict[str, Exchange] = {}
         self.attempts: dict[tuple[str, int], asyncio.Task] = {}
-        self.sent: dict[tuple[str, int], Sending] = {}
+        self.gates: dict[tuple[str, int], SendGate] = {}
         self.tasks: set[asyncio.Task] = set()
         self.queue: deque[ev.Event] = deque()
         self.busy = False
-        self.releases = Releases(pool, self.state, self.clock, self.release_path, self.report)
+        self.releases = Releases(pool, self.state, self.clock, self.release_path, self.report_violation)
         self.start_times = StartTimes()
         self.last_sent: dict[str, datetime] = {}  # when something new went to each endpoint
         self.heed: Callable[[str, Status], None] | None = None  # told how each attempt ended, where set
@@ -143,7 +143,7 @@
     def unperformed(self, effect: ev.Effect) -> None:
         """Give the outcome of an effect that failed as it was performed, for the module to go on with."""
         if isinstance(effect, ev.Forward) and (effect.id, effect.attempt) not in self.attempts:
-            self.sent.pop((effect.id, effect.attempt), None)
+            self.gates.pop((effect.id, effect.attempt), None)
             self.feed(ev.Ended(effect.id, effect.attempt, Status.CONNECT_FAILED, KEPT, written=False))
         elif isinstance(effect, ev.AskHold):
             self.feed(ev.HoldAnswered(effect.id, effect.attempt, False))
@@ -163,7 +163,7 @@
         try:
             self.feed(asked)
             response = await done
-            self.noted(self.invariants.answered(asked.id, self.clock.now()), asked.id)
+            self.log_violation(self.invariants.answered(asked.id, self.clock.now()), asked.id)
             return response
         except asyncio.CancelledError:
             self.invariants.left(asked.id)
@@ -172,7 +172,7 @@
         finally:
             overdue.cancel()
             del self.exchanges[asked.id]
-            self.noted(self.invariants.closed(asked.id), asked.id)
+            self.log_violation(self.invariants.closed(asked.id), asked.id)
 
     def answer_overdue(self, exchange: Exchange) -> None:
         """Answer a request whose time is over and that nothing has answered: some event was lost."""
@@ -180,19 +180,19 @@
         request = self.state.requests.get(id)
         if request is not None and request.began:
             return
-        self.report(Violation.ANSWERED_LATE, id)
+        self.report_violation(Violation.ANSWERED_LATE, id)
         exchange.fail(False)
         self.feed(ev.Left(id))
 
-    def report(self, violation: Violation, id: str = "") -> None:
+    def report_violation(self, violation: Violation, id: str = "") -> None:
         """Count and log a violation."""
-        self.noted(self.invariants.note(violation), id)
+        self.log_violation(self.invariants.note(violation), id)
 
     def release_path(self, id: str) -> str | None:
         """Give the path that releases what is held for a request."""
         return self.hold_path(id)
 
-    def noted(self, violation: Violation | None, id: str) -> None:
+    def log_violation(self, violation: Violation | None, id: str) -> None:
         """Log a violation that was counted."""
         if violation is not None:
             log.seldom("violation", kind=violation.value, request=id)
@@ -210,7 +210,7 @@
         if type(what) is ev.Began:
             self.invariants.began(what.id)
         if name := COUNTED.get(type(what)):
-            self.pool.tally[name(what)] += 1
+            self.pool.counters[name(what)] += 1
 
     def spawn(self, work: Coroutine) -> asyncio.Task:
         """Run work beside; it is awaited at the end."""
@@ -253,25 +253,29 @@
 
     def forward(self, effect: ev.Forward) -> None:
         key = effect.id, effect.attempt
-        self.sent[key] = self.sending(effect, spends=True)
+        self.gates[key] = self.make_gate(effect, spends=True)
         task = self.attempts[key] = self.spawn(self.play(effect, self.exchanges[effect.id]))
         task.add_done_callback(lambda task: self.over(effect, task))
 
-    def sending(self, effect: ev.Forward | ev.AskHold, spends: bool = False) -> Sending:
+    def make_gate(self, effect: ev.Forward | ev.AskHold, spends: bool = False) -> SendGate:
         """Give what is asked, as bytes of a call go, whether they still may (`core/permits.py`).
 
         `spends`: it stands for the request's going, which spends of what the fleet shares. A client whose end
         waits to be read is seen here: an attempt may have waited for a connection, or the loop be behind."""
         deadline = self.clock.now() + effect.patience if isinstance(effect, ev.Forward) else None
 
-        def told() -> Mapping[str, str]:
+        def time_headers() -> Mapping[str, str]:
             """Give the headers that tell of the time left: less than when the attempt was decided on."""
-            return {} if deadline is None else self.exchanges[effect.id].told(deadline - self.clock.now())
+            return (
+                {}
+                if deadline is None
+                else self.exchanges[effect.id].time_headers(deadline - self.clock.now())
+            )
 
-        def may() -> bool:
+        def allows() -> bool:
             exchange = self.exchanges.get(effect.id)
-            gone = exchange is None or exchange.gone
-            return self.allowed(effect, self.state.may_send(effect, self.clock.now(), gone, deadline))
+            disconnected = exchange is None or exchange.disconnected
+            return self.allowed(effect, self.state.may_send(effect, self.clock.now(), disconnected, deadline))
 
         def spend() -> bool:
             if spends and not self.spend(effect.endpoint):
@@ -279,7 +283,7 @@
             self.last_sent[effect.endpoint.name] = datetime.now(UTC)
             return True
 
-        return Sending(may, told, spend)
+        return SendGate(allows, time_headers, spend)
 
     def allowed(self, effect: ev.Forward | ev.AskHold, denial: Denial | None) -> bool:
         """Log a denial, and end a request whose client has gone; tells whether there was none."""
@@ -316,9 +320,9 @@
         outcome the module would wait for ever, and what is held would stay."""
         key = effect.id, effect.attempt
         del self.attempts[key]
-        sent = self.sent.pop(key)
-        written = sent.is_set()
-        sent.set()
+        gate = self.gates.pop(key)
+        written = gate.is_set()
+        gate.set()
         if task.cancelled():
             self.feed(ev.Ended(*key, Status.CANCELLED, written=written))
         elif task.exception():
@@ -328,47 +332,47 @@
 
     async def play(self, effect: ev.Forward, exchange: Exchange) -> ev.Ended:
         """Send the request, and pass its answer on where there is one."""
-        sent = self.sent[effect.id, effect.attempt]
+        gate = self.gates[effect.id, effect.attempt]
 
         def over(status: Status, note: int = 0, load: dict[str, float] | None = None) -> ev.Ended:
             return ev.Ended(effect.id, effect.attempt, status, note, load or {})
 
         call, begun = exchange.call(effect), self.loop.time()
-        headers, data, told = call.headers, call.body, sent
+        headers, data, body_gate = call.headers, call.body, gate
         if effect.once and data:
             headers = {**headers, "Content-Length": str(len(data))}
-            data, told = self.pool.held_back(data, sent), self.sending(effect)
+            data, body_gate = self.pool.delay_last_byte(data, gate), self.make_gate(effect)
         try:
             answer = await self.pool.request(
-                call.method, effect.endpoint.address, call.path, told, headers=headers, data=data
+                call.method, effect.endpoint.address, call.path, body_gate, headers=headers, data=data
             )
-        except Spoilt as error:
-            return over(spoilt(effect, error))
+        except MalformedResponseError as error:
+            return over(log_malformed(effect, error))
         except asyncio.CancelledError:
             if self.loop.time() - begun > UNHEARD.total_seconds():
-                self.pool.connector.drop_idle(effect.endpoint.address)
+                self.pool.connector.close_idle(effect.endpoint.address)
             raise
-        except Drained:
+        except SendDeniedError:
             return over(Status.CONNECT_FAILED, KEPT)  # by us, which tells nothing of the endpoint
-        except Stale:
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED, KEPT)
+        except StaleConnectionError:
+            return over(Status.RESET if gate.is_set() else Status.CONNECT_FAILED, KEPT)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            if sent.denied or told.denied or failed_here(error):
+            if gate.denied or body_gate.denied or is_local_failure(error):
                 return over(Status.CONNECT_FAILED, KEPT)
             # Guards against a machine that is cut off, which gives no sign: the next request on a connection
             # kept from before would wait in silence again, while a new one fails as soon as a connect may.
-            self.pool.connector.drop_idle(effect.endpoint.address)
+            self.pool.connector.close_idle(effect.endpoint.address)
             # Guards a booking: a break counts as never run only while no byte of it can have gone.
-            return over(Status.RESET if sent.is_set() else Status.CONNECT_FAILED)
+            return over(Status.RESET if gate.is_set() else Status.CONNECT_FAILED)
         whole = False
         try:
             head = exchange.read_head(answer.status, answer.headers, b"")
             if head.status is not None:
-                body = await read_short(answer)
+                body = await read_short_response(answer)
                 whole = body is not None
                 if whole:
                     head = exchange.read_head(answer.status, answer.headers, body)
-                return over(head.status, head.note, head.load)
+                return over(head.status, head.detail, head.load)
             status, tail = await self.relay.relay(effect, exchange, answer)
             whole = status is Status.OK
             note, load = exchange.read_tail(tail)
@@ -385,10 +389,10 @@
         Guards against a place that is asked for or answered after the read's end: nobody would take it, and
         with a lost answer nobody would let go of it in time."""
         key, held, silent = (effect.id, effect.attempt), False, False  # what was never sent holds nothing
-        asked, read, path = self.sending(effect), self.attempts.get(key), self.hold_path(effect.id)
+        asked, read, path = self.make_gate(effect), self.attempts.get(key), self.hold_path(effect.id)
         try:
             if read and path:
-                await self.sent[key].wait()
+                await self.gates[key].wait()
             if read and path and not read.done():
                 call = self.spawn(self.pool.call("POST", effect.endpoint.address, path, HOLD_WAIT, asked))
                 await asyncio.wait({call, read}, return_when=asyncio.FIRST_COMPLETED)
@@ -408,7 +412,7 @@
         try:
             async with asyncio.timeout(PROBE_WAIT.total_seconds()):
                 async with self.pool.request("GET", effect.endpoint.address, self.live_path) as answer:
-                    body = await read_short(answer)
+                    body = await read_short_response(answer)
                     status = Status.OK if answer.status == 200 else Status.ERROR
                     load = self.read_report(body or b"")
         except TimeoutError:
@@ -421,7 +425,7 @@
             pass
         if status in (Status.TIMEOUT, Status.CONNECT_FAILED):
             # Guards against connections from before the cut, on which the next request would wait in vain.
-            self.pool.connector.drop_idle(effect.endpoint.address)
+            self.pool.connector.close_idle(effect.endpoint.address)
             log.seldom("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
         took = timedelta(seconds=self.loop.time() - begun)
         self.feed(ev.Probed(effect.server, status, took, load))
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -1,4 +1,4 @@
-"""Listens for clients: aiohttp's low-level server with bounds, and an orderly end."""
+"""HTTP server for clients: aiohttp's low-level server with limits and a graceful shutdown."""
 
 from __future__ import annotations
 
@@ -14,34 +14,39 @@
 from hoplane.core import permits
 from hoplane.core.permits import Denial, Phase
 from hoplane.core.transient import EXHAUSTED
-from hoplane.net.aio import Door, listening
+from hoplane.net.aiohttp_internals import HttpServer, bound_socket
 from hoplane.net.listener import Listener
 
-BODY_WAIT = timedelta(seconds=2.6)  # for a body: a new client is owed an error or a close within 3 s
-LINGER = permits.REFUSE_AFTER  # after SIGTERM, as clients keep coming for 0.2 to 0.4 s
-KILL_MOST, KILL_MORE = timedelta(seconds=3), timedelta(seconds=0.7)  # SIGKILL: the longest deadline, and more
-MOVE, MOVED = 0.45, 0.92  # parts of that time between which streams are moved, where they can be
-START_TRIES, START_RETRY = 100, timedelta(milliseconds=20)  # of a listening socket, where none is left
-MARGIN = timedelta(milliseconds=20)  # of a client's patience, for the answer's way and a busy loop
-RETURN = timedelta(milliseconds=200)  # the least that a refused client is asked to stay away
-LAST = timedelta(seconds=2)  # for the last bytes to leave
-LEAVE_IDLE = timedelta(seconds=0.3)  # then idle connections close in a drain: new ones go elsewhere by then
-SWEEP = timedelta(milliseconds=50)  # how often connections that became idle are closed while draining
-
-EVENT_MOST = 64 * 1024  # bytes of one event
-EVENTS = re.compile(rb"(?:(?:(?:data|event|id|retry)?:[^\n]*|\r?)\n)*")  # lines of events
-EVENT_ENDS = (b"\n\n", b"\n\r\n")
+BODY_TIMEOUT = timedelta(seconds=2.6)  # to read a body: a new client expects an error or a close within 3 s
+ACCEPT_GRACE = permits.REFUSE_AFTER  # after SIGTERM, as clients keep connecting for 0.2 to 0.4 s
+# SIGKILL follows after the longest deadline plus this margin.
+MAX_KILL_DELAY, KILL_MARGIN = timedelta(seconds=3), timedelta(seconds=0.7)
+# Fractions of the time until SIGKILL between which streams are broken off, if clients can resume them.
+BREAK_OFF_START, BREAK_OFF_END = 0.45, 0.92
+# To create the listening socket while system resources are exhausted.
+LISTEN_ATTEMPTS, LISTEN_RETRY_DELAY = 100, timedelta(milliseconds=20)
+# Of a client's deadline, for the response's way and a busy event loop.
+DEADLINE_MARGIN = timedelta(milliseconds=20)
+MIN_RETRY_AFTER = timedelta(milliseconds=200)  # least Retry-After of a refusal
+FLUSH_TIMEOUT = timedelta(seconds=2)  # for the last bytes to be sent
+# Until idle connections close in a drain: by then, new clients go elsewhere.
+DRAIN_IDLE_DELAY = timedelta(seconds=0.3)
+IDLE_SWEEP_INTERVAL = timedelta(milliseconds=50)  # between sweeps for idle connections while draining
+
+MAX_EVENT_BYTES = 64 * 1024  # of one event
+EVENT_LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)?:[^\n]*|\r?)\n)*")  # lines of events
+EVENT_TERMINATORS = (b"\n\n", b"\n\r\n")
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class Relay(web.StreamResponse):
-    """A stream on its way to a client; an aborted one never sends the last chunk."""
+class AbortableResponse(web.StreamResponse):
+    """A streamed response to a client; if aborted, it never sends the last chunk."""
 
     aborted = False
 
     def abort(self, request: web.BaseRequest) -> None:
-        """Close the client's connection in the middle."""
+        """Close the client's connection in the middle of the response."""
         self.aborted = True
         self.force_close()
         if request.transport is not None:
@@ -53,52 +58,62 @@
 
 
 class StreamSink:
-    """Passes an answer's events on to an HTTP/1.1 client as they come, each once it is whole.
+    """Passes a response's events on to an HTTP/1.1 client, each once it is complete.
 
-    Guards against a spoilt stream: a size that does not fit shows as lines that are none of an event's, and
-    one that lies as a piece or a whole without end."""
+    Malformed streams are detected: a chunk size that is too small or too large shows as lines that belong to
+    no event, and a wrong size that hides this shows as an event or a stream that exceeds the limits.
+    """
 
-    whole = False
+    buffered = False
 
-    def __init__(self, request: web.BaseRequest, response: Relay, done: asyncio.Future) -> None:
+    def __init__(self, request: web.BaseRequest, response: AbortableResponse, done: asyncio.Future) -> None:
         self.request, self.response, self.done = request, response, done
-        self.begin()
-
-    def begin(self) -> None:
-        """Begin an attempt's stream: nothing is left of an earlier one that was spoilt."""
-        self.part, self.taken = b"", 0
-
-    def take(self, data: bytes) -> bytes:
-        """Take a piece of the stream in and give the whole events that may go out now."""
-        self.taken += len(data)
-        if self.taken > BODY_MOST:
-            raise ValueError("a stream over 256 KiB")
-        data = self.part + data
-        end = max((data.rfind(mark) + len(mark) for mark in EVENT_ENDS if mark in data), default=0)
-        out, self.part = data[:end], data[end:]
-        if len(self.part) > EVENT_MOST:
-            raise ValueError("an event without end")
-        if out and not EVENTS.fullmatch(out):
-            raise ValueError("what is no event")
-        return out
-
-    def rest(self, framed: bool) -> bytes:
-        """Give what is left at the stream's end, whose last line may do without an empty one."""
-        if not framed:
-            raise ConnectionError("a stream whose end cannot be known")
-        out, self.part = self.part, b""
-        if out and not EVENTS.fullmatch(out if out.endswith(b"\n") else out + b"\n"):
-            raise ValueError("what is no event")
-        return out
+        self.reset()
+
+    def reset(self) -> None:
+        """Start an attempt's stream and discard what is left of an earlier malformed one."""
+        self.partial_event, self.received = b"", 0
+
+    def push(self, data: bytes) -> bytes:
+        """Take a piece of the stream and return the complete events that may be sent now."""
+        self.received += len(data)
+        if self.received > BODY_MOST:
+            raise ValueError("the stream exceeds 256 KiB")
+        data = self.partial_event + data
+        end = max(
+            (
+                data.rfind(terminator) + len(terminator)
+                for terminator in EVENT_TERMINATORS
+                if terminator in data
+            ),
+            default=0,
+        )
+        complete, self.partial_event = data[:end], data[end:]
+        if len(self.partial_event) > MAX_EVENT_BYTES:
+            raise ValueError("an event exceeds 64 KiB")
+        if complete and not EVENT_LINES.fullmatch(complete):
+            raise ValueError("malformed event")
+        return complete
+
+    def flush(self, has_framing: bool) -> bytes:
+        """Return the rest at the stream's end; its last line may lack the empty line that ends an event."""
+        if not has_framing:
+            raise ConnectionError("the stream's end is not framed")
+        remainder, self.partial_event = self.partial_event, b""
+        if remainder and not EVENT_LINES.fullmatch(
+            remainder if remainder.endswith(b"\n") else remainder + b"\n"
+        ):
+            raise ValueError("malformed event")
+        return remainder
 
     async def start(self) -> None:
-        await self.quietly(self.response.prepare(self.request))
+        await self.ignore_disconnect(self.response.prepare(self.request))
 
     async def write(self, data: bytes) -> None:
-        await self.quietly(self.response.write(data))
+        await self.ignore_disconnect(self.response.write(data))
 
     async def finish(self) -> None:
-        await self.quietly(self.response.write_eof())
+        await self.ignore_disconnect(self.response.write_eof())
         if not self.done.done():
             self.done.set_result(self.response)
 
@@ -108,201 +123,218 @@
             self.done.set_result(self.response)
 
     @staticmethod
-    async def quietly(work: Awaitable) -> None:
-        """Write; a client that is gone is told by its handler's end, not as a fault of the endpoint."""
+    async def ignore_disconnect(operation: Awaitable) -> None:
+        """Ignore write errors: a client's disconnect ends its handler and is no fault of the endpoint."""
         try:
-            await work
+            await operation
         except (ConnectionError, OSError):
             return
 
 
-class Bodies:
-    """The memory that bodies take; what would go over the bound is refused before it is read."""
+class MemoryBudget:
+    """Memory budget for bodies; a body over the limit is refused before it is read."""
 
-    def __init__(self, most: int) -> None:
-        self.most = self.left = most
+    def __init__(self, limit: int) -> None:
+        self.limit = self.available = limit
 
-    def resize(self, most: int) -> None:
-        self.left += most - self.most
-        self.most = most
+    def resize(self, limit: int) -> None:
+        self.available += limit - self.limit
+        self.limit = limit
 
-    def take(self, size: int) -> bool:
-        if size > self.left:
+    def reserve(self, size: int) -> bool:
+        if size > self.available:
             return False
-        self.left -= size
+        self.available -= size
         return True
 
-    def give(self, size: int) -> None:
-        self.left += size
+    def release(self, size: int) -> None:
+        self.available += size
 
 
 class Server:
     """Serves one front on one address."""
 
-    def __init__(self, config: Config, handler: Handler, problem: Callable[..., web.Response]) -> None:
-        self.config, self.handler, self.problem = config, handler, problem
-        self.bodies = Bodies(config.limits.bodies)
+    def __init__(self, config: Config, handler: Handler, error_response: Callable[..., web.Response]) -> None:
+        self.config, self.handler, self.error_response = config, handler, error_response
+        self.bodies = MemoryBudget(config.limits.bodies)
         self.stopping = False
-        self.move: Callable[[float], None] = lambda part: None  # breaks off a part of what is open
-        self.leaving: float | None = None  # when the drain began, on the loop's clock
-        self.draining: asyncio.Task | None = None
-        self.open = 0
-        self.door = Door(self.handle, problem, config.limits.clients, config.limits.turned_away, BODY_MOST)
-        self.door.advises = config.settings.retry_after
+        # Breaks off a fraction of the open requests.
+        self.break_off: Callable[[float], None] = lambda fraction: None
+        self.draining_since: float | None = None  # when the drain began, in loop time
+        self.drain_task: asyncio.Task | None = None
+        self.open_requests = 0
+        self.http_server = HttpServer(
+            self.handle, error_response, config.limits.clients, config.limits.turned_away, BODY_MOST
+        )
+        self.http_server.send_retry_after = config.settings.retry_after
         self.listener: Listener | None = None
-        self.ending = False  # SIGTERM came so long ago that SIGKILL could cut what is taken now
-        self.shutting: asyncio.Task | None = None
+        self.refusing = False  # SIGTERM is so long ago that SIGKILL could cut off new requests
+        self.close_task: asyncio.Task | None = None
 
     def resize(self, limits: Limits) -> None:
-        """Put new limits in force; what is over them ends by itself."""
-        self.door.most = limits.clients
+        """Apply new limits; what exceeds them ends by itself."""
+        self.http_server.max_connections = limits.clients
         self.bodies.resize(limits.bodies)
 
     async def start(self) -> None:
         """Listen for clients. The platform may hold the socket and share it with another process."""
-        for left in reversed(range(START_TRIES)):
+        for attempts_left in reversed(range(LISTEN_ATTEMPTS)):
             try:
-                made = listening(*self.config.listen, inherited=self.config.inherited)
+                sock = bound_socket(*self.config.listen, inherited=self.config.inherited)
                 break
             except OSError as error:
-                if error.errno not in EXHAUSTED or left == 0:
+                if error.errno not in EXHAUSTED or attempts_left == 0:
                     raise
-                await asyncio.sleep(START_RETRY.total_seconds())
-        self.listener = Listener(made, self.door)
+                await asyncio.sleep(LISTEN_RETRY_DELAY.total_seconds())
+        self.listener = Listener(sock, self.http_server)
         self.listener.start()
 
-    async def shut(self) -> None:
-        """Listen no more. What waits at a socket of ours is taken first: its requests may have come.
+    async def close_listener(self) -> None:
+        """Stop listening.
 
-        Where the platform holds the socket, the process beside us takes what comes."""
+        Connections queued at a socket of this process are accepted first, as their requests may have arrived.
+        If the platform holds the socket, the other process on it accepts them.
+        """
         if self.listener is not None:
-            await self.listener.close(take_waiting=self.config.inherited is None)
+            await self.listener.close(accept_pending=self.config.inherited is None)
 
     @property
     def phase(self) -> Phase:
-        """Tell how far this process is in its life."""
+        """The phase of this process's life."""
         if self.stopping:
-            return Phase.ENDING if self.ending else Phase.LINGERING
-        return Phase.SERVING if self.leaving is None else Phase.DRAINING
+            return Phase.ENDING if self.refusing else Phase.LINGERING
+        return Phase.SERVING if self.draining_since is None else Phase.DRAINING
 
     def may_start(self) -> Denial | None:
-        """Tell whether a request that has just been read may be taken."""
+        """Return why a request that was just read may not be accepted, or None if it may."""
         return permits.may_start(self.phase)
 
     @property
     def ready(self) -> bool:
-        """Tell whether new clients are welcome."""
-        return self.listener is not None and not self.stopping and self.leaving is None
-
-    def leave(self) -> None:
-        """Begin a drain: say no to the front, and end each connection with its answer or while it is idle."""
-        if self.leaving is None:
-            self.leaving = asyncio.get_running_loop().time()
-            self.draining = asyncio.get_running_loop().create_task(self.drain())
-
-    def give_way(self) -> None:
-        """Let the process beside take every new connection, and empty this one as a drain does."""
-        self.shutting = asyncio.get_running_loop().create_task(self.shut())
-        self.leave()
-
-    def join(self) -> None:
-        """End a drain: take clients again."""
-        self.leaving = None
-        if self.draining is not None:
-            self.draining.cancel()
-            self.draining = None
+        """Whether new clients are accepted."""
+        return self.listener is not None and not self.stopping and self.draining_since is None
+
+    def start_drain(self) -> None:
+        """Start a drain: report not ready, and close each connection after its answer or when it is idle."""
+        if self.draining_since is None:
+            self.draining_since = asyncio.get_running_loop().time()
+            self.drain_task = asyncio.get_running_loop().create_task(self.drain())
+
+    def hand_over(self) -> None:
+        """Let the other process accept all new connections, and drain this one."""
+        self.close_task = asyncio.get_running_loop().create_task(self.close_listener())
+        self.start_drain()
+
+    def cancel_drain(self) -> None:
+        """End a drain: accept clients again."""
+        self.draining_since = None
+        if self.drain_task is not None:
+            self.drain_task.cancel()
+            self.drain_task = None
 
     async def drain(self) -> None:
-        """Close idle connections once the front has heard the no, and any that become idle later."""
-        await asyncio.sleep(LEAVE_IDLE.total_seconds())
+        """Close connections that are or become idle, once the load balancer has seen the drain."""
+        await asyncio.sleep(DRAIN_IDLE_DELAY.total_seconds())
         while True:
-            self.door.drop_idle()
-            await asyncio.sleep(SWEEP.total_seconds())
+            self.http_server.close_idle_connections()
+            await asyncio.sleep(IDLE_SWEEP_INTERVAL.total_seconds())
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve a request; while we stop or drain, its connection ends with its answer."""
-        self.open += 1
+        """Serve a request; during a shutdown or drain, its connection closes after the answer."""
+        self.open_requests += 1
         try:
             response = await self.handler(request)
         except Exception as error:
-            # Guards against a fault of ours that ends a connection unanswered, or in words of another wire.
+            # An internal error must not end a connection unanswered, or in another protocol's format.
             log.say("request_broke", error=repr(error))
-            response = self.problem(500, "a fault of the conductor")
+            response = self.error_response(500, "a fault of the conductor")
         finally:
-            self.open -= 1
-        if (self.stopping or self.leaving is not None) and request.protocol.end_here():
+            self.open_requests -= 1
+        if (self.stopping or self.draining_since is not None) and request.protocol.stop_reading():
             response.force_close()
         return response
 
     @staticmethod
-    def size(request: web.BaseRequest) -> int:
-        """Give how much memory a body may take; one of untold length may take the most."""
+    def body_size(request: web.BaseRequest) -> int:
+        """Return how much memory a body may take; one of unknown length may take the maximum."""
         if request.content_length is None:
             return BODY_MOST if request.can_read_body else 0
         return min(request.content_length, BODY_MOST)
 
     async def read(self, request: web.BaseRequest) -> bytes | web.Response:
-        """Read a body within the bounds, or give the answer that refuses it."""
-        size = request.content_length
-        if size is not None and size > BODY_MOST:
-            return problem(413, "the body is over 256 KiB", close=True)
+        """Read a body within the limits, or return the error that refuses it."""
+        body_size = request.content_length
+        if body_size is not None and body_size > BODY_MOST:
+            return error_response(413, "the body is over 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         try:
-            async with asyncio.timeout_at(self.door.asked_at(request) + BODY_WAIT.total_seconds()):
+            async with asyncio.timeout_at(
+                self.http_server.awaited_since(request) + BODY_TIMEOUT.total_seconds()
+            ):
                 return await request.read()
         except web.HTTPRequestEntityTooLarge:
-            return problem(413, "the body is over 256 KiB", close=True)
+            return error_response(413, "the body is over 256 KiB", close=True)
         except TimeoutError:
-            return problem(408, "the body did not arrive", close=True)
+            return error_response(408, "the body did not arrive", close=True)
 
-    def end(self) -> None:
-        """Refuse what is read from now on: SIGKILL may come before it could be served, and would lose it."""
-        self.ending = True
+    def start_refusing(self) -> None:
+        """Refuse requests from now on: SIGKILL may come before they could be served, and would lose them."""
+        self.refusing = True
 
     async def stop(self) -> None:
-        """Take what still comes for a moment, then close what is idle and wait for the rest.
+        """Accept new connections for a moment, then close idle ones and wait for the rest.
 
-        Where clients go on elsewhere with a stream that breaks, what is open is broken off in time. Guards
-        against streams that outlast the time till SIGKILL, which cuts them at its own moment: where
-        conductors are restarted one upon the other, the next one is then down as well, and clients find
-        nobody. Two thirds of that time lie before the next one's end, and after the last one's return."""
+        Where clients resume a broken stream elsewhere, open streams are broken off in time. Otherwise a
+        stream could outlast the time until SIGKILL, which cuts it at an arbitrary moment: in a rolling
+        restart the next conductor is then down as well, and clients find none. Two thirds of that time lie
+        before the next conductor's end and after the previous one's return.
+        """
         loop = asyncio.get_running_loop()
-        self.stopping, begun = True, loop.time()
-        self.join()
-        longest = max(cls.deadline for cls in self.config.settings.classes) / 1e9
-        kill = min(KILL_MOST.total_seconds(), longest) + KILL_MORE.total_seconds()
-        moves, next_move = self.config.settings.resume, MOVE * kill
-        loop.call_later(LINGER.total_seconds(), self.end)
-        # Where the platform holds the socket, the process beside us takes what comes: we may close at once.
+        self.stopping, stop_started = True, loop.time()
+        self.cancel_drain()
+        longest_deadline = max(cls.deadline for cls in self.config.settings.classes) / 1e9
+        kill_delay = min(MAX_KILL_DELAY.total_seconds(), longest_deadline) + KILL_MARGIN.total_seconds()
+        breaks_off, next_break_off = self.config.settings.resume, BREAK_OFF_START * kill_delay
+        loop.call_later(ACCEPT_GRACE.total_seconds(), self.start_refusing)
+        # If the platform holds the socket, the other process on it accepts new connections: close at once.
         if self.config.inherited is None:
-            await asyncio.sleep(LINGER.total_seconds())
-        await self.shut()
-        ended = loop.time()
-        while self.open or (self.door.connections and loop.time() < ended + LAST.total_seconds()):
-            self.door.drop_idle()
+            await asyncio.sleep(ACCEPT_GRACE.total_seconds())
+        await self.close_listener()
+        last_active = loop.time()
+        while self.open_requests or (
+            self.http_server.connections and loop.time() < last_active + FLUSH_TIMEOUT.total_seconds()
+        ):
+            self.http_server.close_idle_connections()
             await asyncio.sleep(0.005)
-            ended = loop.time() if self.open else ended
-            if moves and (now := loop.time() - begun) >= next_move:
-                next_move = now + SWEEP.total_seconds()
-                self.move(min(1.0, SWEEP.total_seconds() / max(0.001, MOVED * kill - now)))
-
-
-def target(request: web.BaseRequest) -> str:
-    """Give a request's path and query as they came, also where the whole URL was sent."""
+            last_active = loop.time() if self.open_requests else last_active
+            if breaks_off and (now := loop.time() - stop_started) >= next_break_off:
+                next_break_off = now + IDLE_SWEEP_INTERVAL.total_seconds()
+                self.break_off(
+                    min(
+                        1.0,
+                        IDLE_SWEEP_INTERVAL.total_seconds() / max(0.001, BREAK_OFF_END * kill_delay - now),
+                    )
+                )
+
+
+def request_target(request: web.BaseRequest) -> str:
+    """Return a request's path and query unchanged, also if the client sent an absolute URL."""
     return request.raw_path if request.raw_path.startswith("/") else request.rel_url.raw_path_qs
 
 
-def problem(status: int, text: str, close: bool = False) -> web.Response:
-    """Give an answer that says what is wrong; `close` where what may follow is not to be trusted."""
+def error_response(status: int, text: str, close: bool = False) -> web.Response:
+    """Return an error response; with `close`, the connection closes, as further input cannot be trusted."""
     response = web.Response(status=status, text=text + "\n")
     if close:
         response.force_close()
     return response
 
 
-def advice(pause: timedelta | None) -> dict[str, str]:
-    """Give a refusal's headers: when to come back, in decimal seconds, none where that may not be told.
+def retry_after_headers(pause: timedelta | None) -> dict[str, str]:
+    """Return a refusal's headers: Retry-After in decimal seconds, none if it may not be sent.
 
-    Guards against a module with no advice (0), which would call clients back at once into the same jam."""
-    return {} if pause is None else {"Retry-After": f"{max(pause, RETURN).total_seconds():.3f}"}
+    The minimum covers modules that give no advice (0): clients would come back at once into the same
+    overload.
+    """
+    return {} if pause is None else {"Retry-After": f"{max(pause, MIN_RETRY_AFTER).total_seconds():.3f}"}
--- a/hoplane/net/signals.py
+++ b/hoplane/net/signals.py
@@ -1,8 +1,9 @@
-"""Signals: SIGTERM and SIGINT ask for the end, SIGHUP for the configuration anew.
+"""Signal handling: SIGTERM and SIGINT shut down, SIGHUP reloads the configuration.
 
-Both are heeded from the process's first moment to its last. SIGHUP's default ends a process, and one that
-comes while we start may tell of a file that is newer than the one we have read; SIGTERM's default ends it
-out of order, which looks like a crash."""
+Handlers are installed from the process's first moment to its last. The default action of SIGHUP ends the
+process, and one that arrives during startup may announce a file that is newer than the one already read. The
+default action of SIGTERM would look like a crash.
+"""
 
 from __future__ import annotations
 
@@ -10,36 +11,36 @@
 import sys
 from collections.abc import Callable
 
-noted: list[int] = []  # those that came before we can act on them
+pending_reloads: list[int] = []  # received before the event loop can handle them
 
 
-def note() -> None:
-    """Keep in mind each SIGHUP that comes from now on; at a SIGTERM end, as nothing was begun."""
-    signal.signal(signal.SIGHUP, lambda number, frame: noted.append(number))
+def install_early_handlers() -> None:
+    """Record SIGHUPs from now on; exit at once on SIGTERM, as no work has begun."""
+    signal.signal(signal.SIGHUP, lambda number, frame: pending_reloads.append(number))
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
 
 
 def ignore_reload() -> None:
-    """Let SIGHUP do nothing any more, as we are done."""
+    """Ignore SIGHUP during the last part of the shutdown."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def heed_end(stop: Callable[[], None]) -> None:
-    """Call back on the event loop when a signal asks for the end."""
-    import asyncio  # only here: it takes its time, which `note` must not wait for
+def on_shutdown_signal(stop: Callable[[], None]) -> None:
+    """Call `stop` on the event loop when SIGTERM or SIGINT arrives."""
+    import asyncio  # slow to import, which must not delay the early handlers
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop)
 
 
-def heed_reload(reload: Callable[[], None]) -> None:
-    """Call back on the event loop when SIGHUP comes, and for one that was noted."""
+def on_reload_signal(reload: Callable[[], None]) -> None:
+    """Call `reload` on the event loop when SIGHUP arrives, and once for any recorded earlier."""
     import asyncio
 
     loop = asyncio.get_running_loop()
-    # Guards against the loop's own handler, which falls back to the default when the loop closes.
+    # The loop's own handler would restore the default action when the loop closes.
     signal.signal(signal.SIGHUP, lambda number, frame: loop.call_soon_threadsafe(reload))
-    if noted:
-        noted.clear()
+    if pending_reloads:
+        pending_reloads.clear()
         loop.call_soon(reload)
--- a/hoplane/net/start_times.py
+++ b/hoplane/net/start_times.py
@@ -1,8 +1,9 @@
-"""Converts endpoints' start times, told in wall-clock time, to the reducer's clock, which no step moves.
+"""Converts endpoints' start times from the wall clock to the reducer's clock, which no clock step moves.
 
-Discovery tells `since_ms` as Unix time. The reducer's clock begins at the wall's time and runs on
-monotonically, so the two differ by every step of the wall clock since this process began. What counts is an
-endpoint's age: the wall's time now less `since_ms`, both before or both after a step."""
+Discovery reports `since_ms` as Unix time. The reducer's clock starts at the wall-clock time and continues
+monotonically, so the two differ by every step of the wall clock since this process started. What counts is an
+endpoint's age: the wall-clock time minus `since_ms`, both taken before or both after a step.
+"""
 
 from __future__ import annotations
 
@@ -13,16 +14,17 @@
 
 
 class StartTimes:
-    """Remembers for each listed endpoint what was told, and what it meant when it was told first.
+    """Remembers for each listed endpoint the reported start time and the first conversion of it.
 
-    A list that repeats a start time after a step changes nothing. One that is told first after a step, of a
-    start before it, cannot be told apart: an age below zero counts as zero."""
+    A list that repeats a start time after a step changes nothing. A start before a step that is first
+    reported after it cannot be recognized: a negative age counts as zero.
+    """
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[timedelta, timedelta]] = {}  # by endpoint: as told, as converted
+        self.known: dict[str, tuple[timedelta, timedelta]] = {}  # by endpoint: reported, converted
 
     def convert(self, listed: Listed, wall: timedelta, now: timedelta) -> Listed:
-        """Give a list with its start times on the reducer's clock. `wall` and `now` are this moment."""
+        """Return a list with its start times on the reducer's clock; `wall` and `now` are the present."""
         endpoints = tuple(self.converted(each, wall, now) for each in listed.endpoints)
         if listed.whole:
             names = {each.name for each in endpoints} | set(listed.unread)
@@ -30,12 +32,12 @@
         return replace(listed, endpoints=endpoints)
 
     def converted(self, endpoint: Endpoint, wall: timedelta, now: timedelta) -> Endpoint:
-        """Give an endpoint with its start time on the reducer's clock; zero stays, for long ago."""
+        """Return an endpoint with its start time on the reducer's clock; zero stays, for long ago."""
         if endpoint.started == ZERO:
             self.known.pop(endpoint.name, None)
             return endpoint
-        told, converted = self.known.get(endpoint.name, (None, ZERO))
-        if told != endpoint.started:
+        reported, converted = self.known.get(endpoint.name, (None, ZERO))
+        if reported != endpoint.started:
             converted = now - max(ZERO, wall - endpoint.started)
             self.known[endpoint.name] = endpoint.started, converted
         return replace(endpoint, started=converted)
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -1,4 +1,4 @@
-"""Clients and endpoints that send what nobody should: what is bad ends, and the rest goes on."""
+"""Malformed and abusive input from clients and endpoints is contained and does not affect other requests."""
 
 import asyncio
 import socket
@@ -11,21 +11,33 @@
 from test_platform import desk, hang, never_read, read_it, run, write_it
 
 HEAD, _, BODY = chat().partition(b"\r\n\r\n")
-BARE = HEAD.replace(b"\r\nContent-Length: 15", b"")
-HIDDEN = chat(id="hidden")
+HEAD_WITHOUT_LENGTH = HEAD.replace(b"\r\nContent-Length: 15", b"")
+SMUGGLED_REQUEST = chat(id="smuggled")
 
 
 def with_head(line, body=BODY):
-    return BARE + b"\r\n" + line + b"\r\n\r\n" + body
-
-
-BAD = {
-    "both lengths": with_head(b"Content-Length: 4\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + HIDDEN),
-    "both, turned": with_head(b"Transfer-Encoding: chunked\r\nContent-Length: 4", b"0\r\n\r\n" + HIDDEN),
-    "both, odd case": with_head(b"transfer-encoding: Chunked\r\ncontent-length: 900", b"0\r\n\r\n" + HIDDEN),
-    "both, odd coding": with_head(b"Content-Length: 15\r\nTransfer-Encoding: xchunked", BODY + HIDDEN),
-    "both, tab": with_head(b"Content-Length: 15\r\nTransfer-Encoding:\tchunked", b"0\r\n\r\n" + HIDDEN),
-    "both, a space": with_head(b"Content-Length: 15\r\nTransfer-Encoding : chunked", BODY + HIDDEN),
+    return HEAD_WITHOUT_LENGTH + b"\r\n" + line + b"\r\n\r\n" + body
+
+
+MALFORMED_REQUESTS = {
+    "both lengths": with_head(
+        b"Content-Length: 4\r\nTransfer-Encoding: chunked", b"0\r\n\r\n" + SMUGGLED_REQUEST
+    ),
+    "both lengths, reversed": with_head(
+        b"Transfer-Encoding: chunked\r\nContent-Length: 4", b"0\r\n\r\n" + SMUGGLED_REQUEST
+    ),
+    "both lengths, odd case": with_head(
+        b"transfer-encoding: Chunked\r\ncontent-length: 900", b"0\r\n\r\n" + SMUGGLED_REQUEST
+    ),
+    "both lengths, unknown coding": with_head(
+        b"Content-Length: 15\r\nTransfer-Encoding: xchunked", BODY + SMUGGLED_REQUEST
+    ),
+    "both lengths, tab": with_head(
+        b"Content-Length: 15\r\nTransfer-Encoding:\tchunked", b"0\r\n\r\n" + SMUGGLED_REQUEST
+    ),
+    "both lengths, space": with_head(
+        b"Content-Length: 15\r\nTransfer-Encoding : chunked", BODY + SMUGGLED_REQUEST
+    ),
     "two lengths": with_head(b"Content-Length: 15\r\nContent-Length: 4"),
     "a list of lengths": with_head(b"Content-Length: 15, 15"),
     "a negative length": with_head(b"Content-Length: -15"),
@@ -44,15 +56,15 @@
     "half a head": HEAD[:60],
     "half a body": HEAD + b"\r\n\r\n" + BODY[:7],
     "no id": chat().replace(b"X-Correlation-Id: r1\r\n", b""),
-    "a line that goes on": HEAD + b"\r\nX-Folded: 1\r\n 2\r\n\r\n" + BODY,
+    "a folded line": HEAD + b"\r\nX-Folded: 1\r\n 2\r\n\r\n" + BODY,
     "a bare line feed": HEAD.replace(b"\r\n", b"\n") + b"\n\n" + BODY,
     "a null byte": HEAD + b"\r\nX-Null: \0\r\n\r\n" + BODY,
     "HTTP 9": chat().replace(b"HTTP/1.1", b"HTTP/9.9"),
 }
 
 
-async def ended(program, data):
-    """Send bytes and give what comes back up to the connection's end."""
+async def send_until_closed(program, data):
+    """Send bytes and return what is received until the connection ends."""
     reader, writer = await program.connect()
     got = b""
     try:
@@ -70,42 +82,44 @@
     writer.write(message("HTTP/1.1 200 OK", ANSWER, Content_Type="application/json"))
 
 
-async def all_end(program, path, servers):
-    async def one(name, data):
-        begun = time.monotonic()
-        got = await ended(program, data.replace(b"/v1/chat/completions", path))
-        assert time.monotonic() - begun < 3, name
+async def assert_all_rejected(program, path, servers):
+    async def check_case(name, data):
+        started_at = time.monotonic()
+        got = await send_until_closed(program, data.replace(b"/v1/chat/completions", path))
+        assert time.monotonic() - started_at < 3, name
         assert not got or got.split()[1][:1] in b"45", (name, got)
 
-    await asyncio.gather(*(one(*each) for each in BAD.items()))
-    assert not any(server.named("POST") for server in servers), "nothing of it was passed on"
+    await asyncio.gather(*(check_case(*each) for each in MALFORMED_REQUESTS.items()))
+    assert not any(server.named("POST") for server in servers), "no malformed request reached an endpoint"
 
 
-def test_what_a_bad_client_sends_ends_within_three_seconds_and_reaches_nobody(tmp_path):
+def test_malformed_requests_end_within_three_seconds_and_reach_no_endpoint(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
-            await all_end(program, b"/v1/chat/completions", [program.reader, program.writer])
+            await assert_all_rejected(program, b"/v1/chat/completions", [program.reader, program.writer])
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
 
     run(test())
 
 
-def test_the_same_on_the_v2_front(tmp_path):
+def test_malformed_requests_on_the_v2_front(tmp_path):
     async def test():
         async with Server(answer_v2) as server, sidecar(tmp_path, server) as program:
-            await all_end(program, b"/v2/models/desk/infer", [server])
+            await assert_all_rejected(program, b"/v2/models/desk/infer", [server])
             assert await status(program, infer()) == 200
             assert not await program.faults()
 
     run(test())
 
 
-def test_what_waits_behind_a_bad_request_is_not_taken(tmp_path):
+def test_input_after_a_malformed_request_is_discarded(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
-            for name in ("both lengths", "both, turned", "noise", "a length too short"):
-                got = await ended(program, chat(id="before") + BAD[name] + chat(id="behind"))
+            for name in ("both lengths", "both lengths, reversed", "noise", "a length too short"):
+                got = await send_until_closed(
+                    program, chat(id="before") + MALFORMED_REQUESTS[name] + chat(id="behind")
+                )
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
             calls = program.reader.named("POST") + program.writer.named("POST")
             assert {call[1].get("x-correlation-id", "before") for call in calls} <= {"before"}
@@ -114,10 +128,10 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 60000000", b"Transfer-Encoding: chunked"])
-def test_sixty_megabytes_are_answered_though_the_client_reads_only_when_all_is_sent(tmp_path, framing):
+def test_a_sixty_megabyte_body_is_refused_even_if_the_client_reads_only_after_sending(tmp_path, framing):
     async def test():
         async with desk(tmp_path) as program:
-            begun = time.monotonic()
+            started_at = time.monotonic()
             reader, writer = await program.connect()
             writer.write(with_head(framing, b""))
             piece = b"x" * 1_000_000
@@ -125,50 +139,51 @@
                 writer.write(piece if framing.startswith(b"Content") else chunk(piece))
                 await writer.drain()
             assert (await read_message(reader))[0].split()[1] == "413"
-            assert time.monotonic() - begun < 6
-            with open(f"/proc/{program.process.pid}/status") as told:
-                peak = next(int(line.split()[1]) for line in told if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "kilobytes: nothing of it is kept"
+            assert time.monotonic() - started_at < 6
+            with open(f"/proc/{program.process.pid}/status") as process_status:
+                peak = next(int(line.split()[1]) for line in process_status if line.startswith("VmHWM"))
+            assert peak < 64 * 1024, "KiB: the body is not stored"
 
     run(test())
 
 
-def test_an_id_in_use_gets_an_error_and_leaves_the_first_request_alone(tmp_path):
-    go_on = asyncio.Event()
+def test_a_duplicate_id_is_refused_and_the_first_request_unaffected(tmp_path):
+    resume = asyncio.Event()
 
-    async def waits(call, writer):
+    async def write_after_resume(call, writer):
         if call[0].startswith("POST /v1/chat"):
-            await go_on.wait()
+            await resume.wait()
         await write_it(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=waits) as program:
-            first = asyncio.ensure_future(program.ask(chat(id="mine")))
+        async with desk(tmp_path, write=write_after_resume) as program:
+            first = asyncio.ensure_future(program.ask(chat(id="duplicate")))
             await program.writer.wait_for("POST /v1/chat")
-            assert (await program.ask(chat(id="mine")))[0].split()[1] == "409"
-            go_on.set()
+            assert (await program.ask(chat(id="duplicate")))[0].split()[1] == "409"
+            resume.set()
             assert (await first)[0].split()[1] == "200" and len(program.writer.named("POST /v1/chat")) == 1
 
     run(test())
 
 
-async def holds_it(call, writer):
-    """Play a writer with room: with none to find, the module would refuse as in a jam."""
+async def accept_reservations(call, writer):
+    """Act as a writer that accepts reservations; without one, the conductor would shed load."""
     if call[0].startswith("POST /v1/holds"):
         writer.write(message("HTTP/1.1 200 OK"))
     else:
         await write_it(call, writer)
 
 
-def test_silent_connections_by_hundreds_leave_room_for_usual_clients(tmp_path):
+def test_a_flood_of_silent_connections_does_not_block_usual_clients(tmp_path):
     async def test():
         limits = {"memory_mb": 96, "sockets": 256}
-        async with desk(tmp_path, write=holds_it, limits=limits) as program:
-            flood = asyncio.gather(*(ended(program, b"") for _ in range(400)))  # each within 3 s
+        async with desk(tmp_path, write=accept_reservations, limits=limits) as program:
+            # Each connection ends within 3 s.
+            flood = asyncio.gather(*(send_until_closed(program, b"") for _ in range(400)))
             for number in [*range(30), "after"]:
                 if number == "after":
                     assert (await flood) == [b""] * 400
-                # As usual clients do, one that is turned away or cut off by the flood comes once more.
+                # Like usual clients, one that is rejected or disconnected by the flood retries.
                 while not (got := await program.ask(chat(id=f"r{number}"))) or got[0].split()[1] != "200":
                     assert not got or got[0].split()[1] == "503"
                     await asyncio.sleep(float(got[1].get("retry-after", 0.2)) if got else 0.2)
@@ -176,7 +191,7 @@
     run(test())
 
 
-SPOILT = {
+MALFORMED_RESPONSES = {
     "noise": bytes(range(128, 256)),
     "text": b"oops, this is no HTTP at all\r\n\r\n",
     "a head without end": b"HTTP/1.1 200 OK\r\n" + b"X-More: 1\r\n" * 20_000,
@@ -188,7 +203,7 @@
     "an empty stream": STREAM + b"0\r\n\r\n",
     "three gigabytes at once": STREAM + b"c0000000\r\n" + b"x" * 200_000,
 }
-LATER = {
+MALFORMED_CONTINUATIONS = {
     "a bad size": b"zz\r\n" + EVENT,
     "a size too small": b"4\r\n" + EVENT + b"\r\n",
     "a size too large": b"f0\r\n" + EVENT + b"\r\n" + chunk(EVENT) * 20,
@@ -199,106 +214,111 @@
 }
 
 
-def writes(data, then=b"", go_on=None):
-    """Play a writer whose stream is these bytes, on a connection that stays open."""
+def malformed_writer(data, then=b"", resume=None):
+    """Return a writer whose stream is these bytes, on a connection that stays open."""
 
     async def play(call, writer):
         if not call[0].startswith("POST /v1/chat"):
             return await write_it(call, writer)
         writer.write(data)
         if then:
-            await go_on.wait()
+            await resume.wait()
             writer.write(then)
         return await hang(call, writer)
 
     return play
 
 
-class Resets(Server):
-    """Resets its first inference while it comes."""
+class ResettingServer(Server):
+    """Resets the connection of its first inference while that arrives."""
 
-    left = 1
+    resets_left = 1
 
     def begun(self, first, writer):
-        if self.left and ("/chat" in first or "/infer" in first):
-            self.left -= 1
+        if self.resets_left and ("/chat" in first or "/infer" in first):
+            self.resets_left -= 1
             wipe = struct.pack("ii", 1, 0)
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, wipe)
             writer.transport.abort()
             raise ConnectionResetError
 
 
-def test_a_booking_whose_connection_is_reset_before_its_last_byte_never_ran(tmp_path):
-    # The reset has to come while the last byte stays back, on a slow machine too: that span is a hundredfold.
-    longer = "from hoplane.net import pool; pool.LAST_BYTE *= 100"
+def test_a_request_reset_before_its_last_byte_is_retried_and_runs_once(tmp_path):
+    # The reset must arrive while the last byte is delayed, on a slow machine too: the delay is a hundredfold.
+    longer_delay = "from hoplane.net import pool; pool.LAST_BYTE_DELAY *= 100"
 
     async def test():
-        async with Server(read_it) as reader, Resets(write_it) as writer:
+        async with Server(read_it) as reader, ResettingServer(write_it) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
-            async with platform(tmp_path, entries, first=longer) as program:
+            async with platform(tmp_path, entries, first=longer_delay) as program:
                 assert (await program.ask(chat(cls="booking")))[0].split()[1] == "200"
                 (call,) = writer.named("POST /v1/chat")
-                assert not writer.left and call[2] == BODY and call[1]["content-length"] == "15"
+                assert not writer.resets_left and call[2] == BODY and call[1]["content-length"] == "15"
         (tmp_path / "v2").mkdir()
-        async with Resets(answer_v2) as server, sidecar(tmp_path / "v2", server, first=longer) as program:
+        async with (
+            ResettingServer(answer_v2) as server,
+            sidecar(tmp_path / "v2", server, first=longer_delay) as program,
+        ):
             assert await status(program, infer()) == 200
-            assert not server.left and len(server.calls) == 1
+            assert not server.resets_left and len(server.calls) == 1
 
     run(test())
 
 
-def test_a_stream_spoilt_at_its_opening_may_have_run(tmp_path):
-    async def one(folder, name, data):
+def test_a_malformed_response_start_counts_as_possibly_run(tmp_path):
+    async def check_case(folder, name, data):
         folder.mkdir()
-        async with Server(write_it) as second, desk(folder, write=writes(data)) as program:
+        async with Server(write_it) as second, desk(folder, write=malformed_writer(data)) as program:
             booked = await program.ask(chat(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
             assert len(program.writer.named("POST /v1/chat")) == 1, "it may have run"
-            assert await program.writer.closed.get(), "its connection is not used again"
+            assert await program.writer.closed.get(), "its connection is not reused"
             await program.discovery.tell([*program.entries, entry("w2", second.address, "decode")])
             while (await program.line("endpoints"))["known"] != 3:
                 pass
-            for number in range(4):  # a safe one goes to the other writer, if it met the bad one
+            for number in range(4):  # safe requests are retried at the other writer if they meet the bad one
                 assert (await program.ask(chat(id=f"s{number}")))[0].split()[1] == "200", name
             assert not await program.faults()
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(SPOILT.items()))
+        tasks = (check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
 
 
-def test_a_stream_spoilt_later_ends_its_client_and_nothing_spoilt_goes_out(tmp_path):
-    async def one(folder, name, data):
+def test_a_stream_malformed_midway_is_cut_off_and_no_malformed_part_is_sent(tmp_path):
+    async def check_case(folder, name, data):
         folder.mkdir()
-        go_on = asyncio.Event()
-        async with desk(folder, write=writes(STREAM + chunk(EVENT), data, go_on)) as program:
+        resume = asyncio.Event()
+        async with desk(folder, write=malformed_writer(STREAM + chunk(EVENT), data, resume)) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             got = await reader.readuntil(EVENT)
-            go_on.set()
+            resume.set()
             got += await asyncio.wait_for(reader.read(-1), 5)
             assert not got.endswith(b"0\r\n\r\n"), name
             body = b"".join(part for part in got.split(b"\r\n") if part.startswith(b"data"))
             assert body and not body.replace(EVENT, b""), (name, body[-200:])
             assert await program.writer.closed.get()
-            with open(f"/proc/{program.process.pid}/status") as told:
-                peak = next(int(line.split()[1]) for line in told if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "kilobytes"
+            with open(f"/proc/{program.process.pid}/status") as process_status:
+                peak = next(int(line.split()[1]) for line in process_status if line.startswith("VmHWM"))
+            assert peak < 64 * 1024, "KiB"
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(LATER.items()))
+        tasks = (
+            check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_CONTINUATIONS.items())
+        )
         await asyncio.gather(*tasks)
 
     run(test())
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_what_comes_ahead_of_a_good_answer_or_behind_it_does_no_harm(tmp_path, late):
+def test_interim_responses_and_trailing_data_are_ignored(tmp_path, late):
     behind = STREAM + chunk(b'data: {"not":"yours"}\n\n') + b"0\r\n\r\n"
 
-    async def more(call, writer):
+    async def interim_and_trailing_data(call, writer):
         if not call[0].startswith("POST /v1/chat"):
             return await write_it(call, writer)
         ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
@@ -313,7 +333,7 @@
         return None
 
     async def test():
-        async with desk(tmp_path, write=more) as program:
+        async with desk(tmp_path, write=interim_and_trailing_data) as program:
             for number in range(5):
                 first, _, body = await program.ask(chat(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
@@ -321,8 +341,8 @@
     run(test())
 
 
-def test_spoilt_answers_on_the_v2_front_may_have_run(tmp_path):
-    async def one(folder, name, data):
+def test_malformed_responses_on_the_v2_front_count_as_possibly_run(tmp_path):
+    async def check_case(folder, name, data):
         async def play(call, writer):
             writer.write(data)
             await hang(call, writer)
@@ -339,16 +359,16 @@
             assert not await program.faults()
 
     async def test():
-        tasks = (one(tmp_path / str(at), *each) for at, each in enumerate(SPOILT.items()))
+        tasks = (check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
 
 
-def test_a_reader_whose_answer_cannot_be_read_is_not_the_end(tmp_path):
+def test_a_malformed_reader_response_does_not_crash_the_conductor(tmp_path):
     async def test():
         async with desk(tmp_path, read=never_read) as program:
-            program.reader.play = writes(b"\x80\x81\r\n\r\n")
+            program.reader.play = malformed_writer(b"\x80\x81\r\n\r\n")
             assert (await program.ask(chat(left=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -10,7 +10,7 @@
 from standins import SETTINGS, free_port, message, within
 
 from hoplane.config import platform
-from hoplane.net import aio, server
+from hoplane.net import aiohttp_internals, server
 
 ASKED = message("GET /x HTTP/1.1", Host="h")
 
@@ -19,8 +19,8 @@
     return web.Response(text="well")
 
 
-def problem(status, text, close=False):
-    return server.problem(status, text, close)
+def error_response(status, text, close=False):
+    return server.error_response(status, text, close)
 
 
 class Client(socket.socket):
@@ -50,18 +50,18 @@
 
 
 @asynccontextmanager
-async def serving(handler=well, most=9):
+async def serving(handler=well, max_connections=9):
     port = free_port()
     told = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-    serves = server.Server(platform(told), handler, problem)
-    serves.door.most = most
+    serves = server.Server(platform(told), handler, error_response)
+    serves.http_server.max_connections = max_connections
     await serves.start()
     serves.port = port
     try:
         yield serves
     finally:
-        await serves.shut()
-        for each in serves.door.connections:
+        await serves.close_listener()
+        for each in serves.http_server.connections:
             each.force_close()
 
 
@@ -70,7 +70,7 @@
     client = client or Client(serves.port)
     client.send(ASKED)
     assert (await client.answer()).endswith(b"well")
-    (caller,) = [each for each in serves.door.connections if each.peername == client.getsockname()]
+    (caller,) = [each for each in serves.http_server.connections if each.peername == client.getsockname()]
     while not caller.idle:
         await asyncio.sleep(0)
     return client, caller
@@ -78,7 +78,7 @@
 
 def run(test, monkeypatch=None):
     if monkeypatch:
-        monkeypatch.setattr(server, "LINGER", timedelta(milliseconds=50))
+        monkeypatch.setattr(server, "ACCEPT_GRACE", timedelta(milliseconds=50))
     asyncio.run(within(test(), 30))
 
 
@@ -87,13 +87,13 @@
 
     async def test():
         async with serving() as serves:
-            make = serves.door.request_factory
+            make = serves.http_server.request_factory
 
             def crossed(*told):
-                serves.door.drop_idle()
+                serves.http_server.close_idle_connections()
                 return make(*told)
 
-            serves.door.request_factory = crossed
+            serves.http_server.request_factory = crossed
             client = Client(serves.port)
             client.send(ASKED)
             assert (await client.answer()).endswith(b"well")
@@ -101,23 +101,23 @@
     run(test)
 
 
-@pytest.mark.parametrize("close", ["drop_idle", "make_room", "_process_keepalive"])
+@pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection", "_process_keepalive"])
 @pytest.mark.parametrize("came", ["a request unread", "half a head"])
 def test_a_resting_connection_is_to_close_as_a_request_comes(monkeypatch, close, came):
-    for span in ("FRESH", "SILENT"):  # as long as a slow machine may want
-        monkeypatch.setattr(aio, span, timedelta(seconds=60))
+    for span in ("NEW_CONNECTION_GRACE", "CLIENT_IDLE_TIMEOUT"):  # as long as a slow machine may want
+        monkeypatch.setattr(aiohttp_internals, span, timedelta(seconds=60))
 
     async def test():
         async with serving() as serves:
             client, caller = await served(serves)
             if came == "half a head":
                 client.send(ASKED[:20])
-                while not caller.half:
+                while not caller.partial_head_since:
                     await asyncio.sleep(0)
             else:
                 client.send(ASKED)  # the loop has no pass to read it before the close is asked for
             caller._next_keepalive_close_time = 0.0
-            getattr(caller if close == "_process_keepalive" else serves.door, close)()
+            getattr(caller if close == "_process_keepalive" else serves.http_server, close)()
             if came == "half a head":
                 client.send(ASKED[20:])
             assert (await client.answer()).endswith(b"well")
@@ -125,18 +125,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("close", ["drop_idle", "make_room"])
+@pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection"])
 def test_a_connection_just_taken_is_to_close_while_its_first_request_is_on_its_way(monkeypatch, close):
-    monkeypatch.setattr(aio, "FRESH", timedelta(seconds=60))
+    monkeypatch.setattr(aiohttp_internals, "NEW_CONNECTION_GRACE", timedelta(seconds=60))
 
     async def test():
         async with serving() as serves:
             clients = [Client(serves.port) for _ in range(2)]
-            while len(found := [each for each in serves.door.connections if each.idle]) < 2:
+            while len(found := [each for each in serves.http_server.connections if each.idle]) < 2:
                 await asyncio.sleep(0)
             (old,) = [each for each in found if each.peername == clients[0].getsockname()]
-            old.since -= 61
-            getattr(serves.door, close)()
+            old.idle_since -= 61
+            getattr(serves.http_server, close)()
             assert await clients[0].ended() == b"", "one that has long said nothing may go"
             clients[1].send(ASKED)
             assert (await clients[1].answer()).endswith(b"well")
@@ -149,16 +149,16 @@
         async with serving() as serves:
             client, caller = await served(serves)
             client.send(ASKED[:20])
-            while not caller.half:
+            while not caller.partial_head_since:
                 await asyncio.sleep(0)
-            caller.half -= aio.FRESH.total_seconds() + 0.01
-            assert serves.door.make_room()
+            caller.partial_head_since -= aiohttp_internals.NEW_CONNECTION_GRACE.total_seconds() + 0.01
+            assert serves.http_server.evict_connection()
             assert await client.ended() == b""
             client, caller = await served(serves)
             client.send(ASKED[:20])
-            while not caller.half:
+            while not caller.partial_head_since:
                 await asyncio.sleep(0)
-            caller.half -= aio.SILENT.total_seconds() + 0.01
+            caller.partial_head_since -= aiohttp_internals.CLIENT_IDLE_TIMEOUT.total_seconds() + 0.01
             caller._process_keepalive()
             assert await client.ended() == b""
 
@@ -169,13 +169,13 @@
     async def test():
         async with serving() as serves:
             client, _ = await served(serves)
-            shut = serves.shut
+            close_listener = serves.close_listener
 
             async def crossed():
-                await shut()
+                await close_listener()
                 client.send(ASKED)  # as the idle connections are about to close
 
-            serves.shut = crossed
+            serves.close_listener = crossed
             stopping = asyncio.create_task(serves.stop())
             got = await client.answer()
             assert got.endswith(b"well") and b"Connection: close" in got
@@ -190,8 +190,8 @@
     """Those that the loop is just accepting, and those that it has not come to yet."""
 
     async def test():
-        async with serving(most=50) as serves:
-            monkeypatch.setattr(server, "LINGER", timedelta())
+        async with serving(max_connections=50) as serves:
+            monkeypatch.setattr(server, "ACCEPT_GRACE", timedelta())
             clients = [Client(serves.port) for _ in range(40)]
             for client in clients:
                 client.send(ASKED)
@@ -233,7 +233,7 @@
             client = Client(serves.port)
             client.send(ASKED)
             await begun.wait()
-            (caller,) = serves.door.connections
+            (caller,) = serves.http_server.connections
             finish = caller.finish_response
 
             async def crossed(*told):
@@ -243,7 +243,9 @@
                         await asyncio.sleep(0)
                 return await finish(*told)
 
-            monkeypatch.setattr(aio.Caller, "finish_response", lambda caller, *told: crossed(*told))
+            monkeypatch.setattr(
+                aiohttp_internals.ClientConnection, "finish_response", lambda caller, *told: crossed(*told)
+            )
             stopping = asyncio.create_task(serves.stop())
             await asyncio.sleep(0)
             go_on.set()
@@ -286,12 +288,12 @@
     async def test():
         async with serving() as serves:
             client, caller = await served(serves)
-            assert not caller.gone
+            assert not caller.disconnected
             client.send(b"x")
-            assert not caller.gone
+            assert not caller.disconnected
             for _ in range(3):
                 await asyncio.sleep(0)
             client.close()  # and no pass of the loop
-            assert caller.gone
+            assert caller.disconnected
 
     run(test)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -17,8 +17,8 @@
 from hoplane.core.events import Asked, Endpoint, Forward, Left, LetGo
 from hoplane.decision.interface import KEPT, State, Status
 from hoplane.fronts.platform import read_list
-from hoplane.net.pool import Drained, Pool, Sending
-from hoplane.net.wire import Call
+from hoplane.net.interface import Call
+from hoplane.net.pool import Pool, SendDeniedError, SendGate
 
 
 def endpoint(name, zone, address="127.0.0.1:1"):
@@ -43,14 +43,14 @@
         server, port = Server(let_go), free_port()
         there = SimpleNamespace(address=f"127.0.0.1:{port}")
         runtime, listener = start(there, there), None
-        most = runtime.pool.most
+        max_sockets = runtime.pool.max_sockets
         if want == "no socket":
-            runtime.pool.most = 0
+            runtime.pool.max_sockets = 0
             listener = await asyncio.start_server(server.serve, "127.0.0.1", port)
         letting = asyncio.create_task(runtime.release(LetGo("q", tuple(runtime.state.fleet.values()))))
         await asyncio.sleep(0.2)
         assert not letting.done() and not server.calls
-        runtime.pool.most = most
+        runtime.pool.max_sockets = max_sockets
         listener = listener or await asyncio.start_server(server.serve, "127.0.0.1", port)
         await server.wait_for("DELETE /v1/holds/q")
         await within(letting)
@@ -75,7 +75,7 @@
 async def late_connections(read, address_of):
     """A runtime with a request out, whose connections to one endpoint come up when the event is set."""
     async with Server(read) as reader, Server(let_go) as writer:
-        runtime, up, told = start(reader, writer), asyncio.Event(), asyncio.Event()
+        runtime, up, answered = start(reader, writer), asyncio.Event(), asyncio.Event()
         connect = runtime.pool.connector.connect
         held_up = {"reader": reader, "writer": writer}[address_of].address
 
@@ -88,15 +88,15 @@
         runtime.pool.connector.connect = late
         call = Call("POST", "/v1/chat/completions", {}, b"{}")
         runtime.exchanges["q"] = SimpleNamespace(
-            gone=False,
+            disconnected=False,
             call=lambda forward: call,
-            refuse=lambda pause: told.set(),
-            fail=lambda clash: told.set(),
+            refuse=lambda pause: answered.set(),
+            fail=lambda clash: answered.set(),
             read_head=lambda *_: SimpleNamespace(status=None, load={}),
-            told=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
+            time_headers=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
         )
         runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
-        yield runtime, reader, writer, up, told
+        yield runtime, reader, writer, up, answered
         runtime.feed(Left("q"))
         await within(runtime.rest())
         await runtime.pool.close()
@@ -150,7 +150,7 @@
             if address_of == "writer":
                 await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
-            runtime.exchanges["q"].gone = True
+            runtime.exchanges["q"].disconnected = True
             up.set()
             while runtime.state.requests:
                 await asyncio.sleep(0.01)
@@ -165,12 +165,12 @@
         async with late_connections(never_read, "reader") as (runtime, reader, writer, up, _):
             ended, feed = [], runtime.feed
             runtime.feed = lambda event: (ended.append(event), feed(event))
-            (first,) = runtime.sent.values()
+            (first,) = runtime.gates.values()
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             soon, later = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
-            for until, may in ((soon, False), (later, True), (None, True)):
+            for until, may_send in ((soon, False), (later, True), (None, True)):
                 forward = Forward("q", 1, endpoint, timedelta(seconds=4), reads=False, until=until)
-                assert runtime.sending(forward).may() is may
+                assert runtime.make_gate(forward).may_send() is may_send
             assert not first.is_set() and not any(isinstance(each, Left) for each in ended)
 
     asyncio.run(within(test(), 20))
@@ -193,8 +193,10 @@
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
-            for patience, may in ((timedelta(), False), (timedelta(seconds=60), True)):
-                assert runtime.sending(Forward("q", 1, endpoint, patience, reads=False)).may() is may
+            for patience, may_send in ((timedelta(), False), (timedelta(seconds=60), True)):
+                assert (
+                    runtime.make_gate(Forward("q", 1, endpoint, patience, reads=False)).may_send() is may_send
+                )
 
     asyncio.run(within(test(), 20))
 
@@ -202,11 +204,11 @@
 def test_the_last_byte_of_a_booking_stays_back_for_a_client_that_left_as_it_was_held():
     async def test():
         left, body = False, b"{}"
-        sent = Sending(lambda: not left)
-        pieces = Pool.held_back(body, sent)
+        sent = SendGate(lambda: not left)
+        pieces = Pool.delay_last_byte(body, sent)
         assert await anext(pieces) == b"{"
         left = True
-        with pytest.raises(Drained):
+        with pytest.raises(SendDeniedError):
             await anext(pieces)
         assert not sent.is_set(), "it surely never ran"
 
@@ -329,7 +331,7 @@
 
             runtime.pool.request = fails
             forward = Forward("q", 7, endpoint, timedelta(seconds=4), reads=True)
-            runtime.sent["q", 7] = Sending()
+            runtime.gates["q", 7] = SendGate()
             ended = await runtime.play(forward, runtime.exchanges["q"])
             del runtime.pool.request
             assert (ended.status, ended.note) == (Status.CONNECT_FAILED, note)
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -16,12 +16,12 @@
 from hoplane.decision.interface import KEPT, Status
 from hoplane.fronts.kserve import problem
 from hoplane.fronts.platform import hold_path, read_list
-from hoplane.net import aio
+from hoplane.net import aiohttp_internals
 from hoplane.net.discovery import Discovery
+from hoplane.net.interface import Call
 from hoplane.net.pool import Pool
 from hoplane.net.runtime import Runtime
-from hoplane.net.server import Server as Door
-from hoplane.net.wire import Call
+from hoplane.net.server import Server as FrontServer
 
 
 async def let_go(call, writer):
@@ -60,7 +60,7 @@
             runtime.feed = lambda event: (ended.append(event), feed(event))
             fits, runtime.spend = runtime.spend, lambda endpoint: False
             call = Call("POST", "/v1/prompts", {}, b"{}")
-            runtime.exchanges["q"] = SimpleNamespace(gone=False, call=lambda effect: call)
+            runtime.exchanges["q"] = SimpleNamespace(disconnected=False, call=lambda effect: call)
             runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=1), session="s"))
             while not any(isinstance(each, Ended) for each in ended):
                 await asyncio.sleep(0)
@@ -82,7 +82,7 @@
 
     async def test():
         told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        answer = await Door(platform(told), broken, problem).handle(None)
+        answer = await FrontServer(platform(told), broken, problem).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
 
     asyncio.run(within(test(), 60))
@@ -93,7 +93,7 @@
         async with Server(let_go) as reader, Server(let_go) as writer:
             runtime = start(reader, writer, limits={"sockets": 64, "memory_mb": 96})
             pool, second = runtime.pool, timedelta(seconds=5)
-            assert pool.most == 27
+            assert pool.max_sockets == 27
             calls = (pool.call("DELETE", reader.address, "/v1/holds/a", second) for _ in range(40))
             done = await asyncio.gather(*calls)
             assert 1 <= done.count(204) <= 27 and done.count(None) == 40 - done.count(204)
@@ -109,7 +109,7 @@
             few, second = {"sockets": 64, "memory_mb": 96}, timedelta(seconds=5)
             pool = start(reader, reader, limits=few, discovery=discovery.address).pool
             info = (socket.AF_INET, socket.SOCK_STREAM, 0, "", ("127.0.0.1", 9))
-            taken = [pool.open(info) for _ in range(pool.most)]
+            taken = [pool.open_socket(info) for _ in range(pool.max_sockets)]
             assert await pool.call("DELETE", reader.address, "/x", second) is None
             assert await pool.call("GET", discovery.address, "/x", second) == 204
             for each in taken:
@@ -125,7 +125,7 @@
             pool = start(reader, writer, limits={"sockets": 64, "memory_mb": 96}).pool
             second = timedelta(seconds=5)
             info = (socket.AF_INET, socket.SOCK_STREAM, 0, "", ("127.0.0.1", 9))
-            closed = [pool.open(info) for _ in range(pool.most)]
+            closed = [pool.open_socket(info) for _ in range(pool.max_sockets)]
             for made in closed:  # still referred to, as by the cycles that only the garbage collector ends
                 made.close()
             assert await pool.call("DELETE", reader.address, "/v1/holds/a", second) == 204
@@ -135,7 +135,7 @@
 
 
 def test_silence_casts_doubt_on_the_connections_kept_from_before(monkeypatch):
-    monkeypatch.setattr(aio, "BEHIND", timedelta())  # those kept are used again at once
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # those kept are used again at once
 
     async def mute(call, writer):
         if call[0].startswith("POST"):
@@ -152,16 +152,16 @@
             call = Call("POST", "/v1/chat/completions", {}, b"{}")
             told = asyncio.Event()
             runtime.exchanges["q"] = SimpleNamespace(
-                gone=False,
+                disconnected=False,
                 call=lambda forward: call,
-                told=lambda left: {},
+                time_headers=lambda left: {},
                 refuse=lambda pause: told.set(),
                 fail=lambda clash: told.set(),
             )
             runtime.feed(Asked("q", "lookup", 100, 20, timedelta(seconds=0.8), session="s"))
             await within(told.wait())
-            assert pool.connector.drop_idle(reader.address) == 0, "none is left to wait on in vain"
-            assert pool.connector.drop_idle(writer.address) == 3
+            assert pool.connector.close_idle(reader.address) == 0, "none is left to wait on in vain"
+            assert pool.connector.close_idle(writer.address) == 3
             await within(runtime.rest())
             await pool.close()
 
@@ -169,7 +169,7 @@
 
 
 def test_kept_connections_that_break_are_told_as_such_and_then_none_is_kept(monkeypatch):
-    monkeypatch.setattr(aio, "BEHIND", timedelta())  # those kept are used again at once
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # those kept are used again at once
 
     broken = asyncio.Event()
 
@@ -185,15 +185,15 @@
             pool, ended = runtime.pool, []
             reduced, runtime.feed = runtime.feed, lambda event: (ended.append(event), reduced(event))
             calls = (pool.call("DELETE", reader.address, "/v1/holds/a", timedelta(seconds=5)) for _ in "ab")
-            assert await asyncio.gather(*calls) == [204, 204] and pool.connector.keeping
+            assert await asyncio.gather(*calls) == [204, 204] and pool.connector.keepalive_enabled
             broken.set()
             assert await pool.call("DELETE", reader.address, "/v1/holds/b", timedelta(seconds=5)) is None
-            assert pool.connector.keeping, "one alone may have been closed as idle"
+            assert pool.connector.keepalive_enabled, "one alone may have been closed as idle"
             call, told = Call("POST", "/v1/chat/completions", {}, b"{}"), asyncio.Event()
             runtime.exchanges["q"] = SimpleNamespace(
-                gone=False,
+                disconnected=False,
                 call=lambda forward: call,
-                told=lambda left: {},
+                time_headers=lambda left: {},
                 refuse=lambda pause: told.set(),
                 fail=lambda clash: told.set(),
             )
@@ -202,7 +202,7 @@
             await within(runtime.rest())
             ends = [(each.status, each.note) for each in ended if isinstance(each, Ended)]
             assert ends[0] == (Status.RESET, KEPT) and (Status.RESET, 0) in ends, "the next were new ones"
-            assert not pool.connector.keeping
+            assert not pool.connector.keepalive_enabled
             await pool.close()
 
     asyncio.run(within(test(), 60))
@@ -230,11 +230,11 @@
             assert await calls("GET") == [204] * 4, "on the connections kept from before"
             while await calls("DELETE") != [204] * 4:  # some may meet a close on its way
                 pass
-            kept = pool.connector.broken.copy()
+            kept = pool.connector.stale_times.copy()
             mute.set()
             assert await calls("DELETE", timedelta(milliseconds=50)) == [None] * 4
             await within(reader.closed.get())
-            assert pool.connector.broken == kept
+            assert pool.connector.stale_times == kept
             await pool.close()
 
     asyncio.run(within(test(), 60))
--- a/tests/test_second_site.py
+++ b/tests/test_second_site.py
@@ -13,7 +13,7 @@
 from hoplane.decision import interface as api
 from hoplane.decision.rules import Router
 from hoplane.fronts.platform import read_asked
-from hoplane.net.server import advice
+from hoplane.net.server import retry_after_headers
 
 HEADERS = {
     "X-Correlation-Id": "r1",
@@ -65,7 +65,7 @@
     effects += reduce(state, ev.timedelta(seconds=5), due)
     refused = [e for e in effects if isinstance(e, ev.Refuse)]
     assert refused and all((e.pause is not None) is allowed for e in refused)
-    assert bool(advice(refused[0].pause)) is allowed
+    assert bool(retry_after_headers(refused[0].pause)) is allowed
 
 
 @pytest.mark.parametrize(
