--- a/hoplane/net/aiohttp_internals.py
+++ b/hoplane/net/aiohttp_internals.py
@@ -207,7 +207,9 @@
             else KEEPALIVE_PAUSE_S
         )
         self.keepalive_resumes_at, self._keepalive_timeout = now + self.keepalive_pause, 0.0
-        log.say("connections_stale", idle_ms=round(idle_time * 1000), none_kept_for_s=self.keepalive_pause)
+        log.write_event(
+            "connections_stale", idle_ms=round(idle_time * 1000), none_kept_for_s=self.keepalive_pause
+        )
 
     @property
     def keepalive_enabled(self) -> bool:
@@ -366,7 +368,7 @@
         """Return an error in the front's format, without one log line per error."""
         if request.writer.output_size > 0:
             raise ConnectionError("the response has already started")
-        log.seldom("bad_request", text=(message or repr(exc)).split("\n")[0][:200])
+        log.write_event_limited("bad_request", text=(message or repr(exc)).split("\n")[0][:200])
         return self._manager.error_response(status, "the request cannot be read", close=True)
 
     async def finish_response(self, request, resp, start_time):
@@ -470,7 +472,7 @@
     def __call__(self) -> asyncio.Protocol:
         if len(self._connections) < self.max_connections or self.evict_connection():
             return self.new_connection()
-        log.seldom("client_turned_away", connections=self.max_connections)
+        log.write_event_limited("client_turned_away", connections=self.max_connections)
         return RejectedConnection(self)
 
     def evict_connection(self) -> bool:
--- a/hoplane/net/counters.py
+++ b/hoplane/net/counters.py
@@ -23,4 +23,4 @@
         """Log the counts regularly: one conductor's cost is small, only the sum over a fleet tells much."""
         while True:
             await asyncio.sleep(LOG_INTERVAL.total_seconds())
-            log.say("tally", **self.log_fields())
+            log.write_event("tally", **self.log_fields())
--- a/hoplane/net/listener.py
+++ b/hoplane/net/listener.py
@@ -76,7 +76,7 @@
                 return None
             except OSError as error:
                 if error.errno in EXHAUSTED:
-                    log.seldom("accept_failed", error=repr(error))
+                    log.write_event_limited("accept_failed", error=repr(error))
                     raise
                 continue
             self.failures = 0
@@ -101,7 +101,9 @@
         """Close the connection if its transport could not be created."""
         self.pending_transports.discard(task)
         if task.cancelled() or task.exception() is not None:
-            log.seldom("connection_broke", error=repr(None if task.cancelled() else task.exception()))
+            log.write_event_limited(
+                "connection_broke", error=repr(None if task.cancelled() else task.exception())
+            )
             connection.close()
 
     async def close(self, accept_pending: bool) -> None:
@@ -126,7 +128,7 @@
                 connection = self.accept_one()
             except OSError:
                 if self.loop.time() >= give_up_at:
-                    log.say("listener_abandoned", listen=repr(self.listening_socket.getsockname()))
+                    log.write_event("listener_abandoned", listen=repr(self.listening_socket.getsockname()))
                     return
                 await asyncio.sleep(RETRY_DELAY.total_seconds())
                 continue
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -29,7 +29,9 @@
 
 def log_malformed(effect: ev.Forward, error: Exception) -> Status:
     """Log a malformed response: the endpoint is up, and the request may have run."""
-    log.seldom("answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200])
+    log.write_event_limited(
+        "answer_spoilt", endpoint=effect.endpoint.name, request=effect.id, error=str(error)[:200]
+    )
     return Status.ERROR
 
 
@@ -90,7 +92,7 @@
             if isinstance(error, MalformedResponseError | ValueError):
                 return log_malformed(effect, error), tail
             if not isinstance(error, aiohttp.ClientError | OSError | TimeoutError):
-                log.say("relay_broke", error=repr(error))
+                log.write_event("relay_broke", error=repr(error))
             return Status.RESET, tail
         await sink.finish()
         return Status.OK, tail
@@ -120,7 +122,7 @@
             # The sum of all responses must not exceed the memory limit.
             if not self.response_memory.reserve(len(piece)):
                 self.response_memory.release(len(data))
-                log.seldom("answer_too_large", read=len(data))
+                log.write_event_limited("answer_too_large", read=len(data))
                 return None
             data += piece
         sink.done.add_done_callback(lambda done: self.response_memory.release(len(data)))
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -246,7 +246,7 @@
             response = await self.handler(request)
         except Exception as error:
             # An internal error must not end a connection unanswered, or in another protocol's format.
-            log.say("request_broke", error=repr(error))
+            log.write_event("request_broke", error=repr(error))
             response = self.error_response(500, "a fault of the conductor")
         finally:
             self.open_requests -= 1
