--- a/hoplane/__main__.py
+++ b/hoplane/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one conductor: `python -m hoplane`, or with a file of ours for the v2 front."""
+"""Starts one conductor: `python -m hoplane`, or with a configuration file for the v2 front."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def start() -> int:
-    """Heed signals, and only then load what takes half of a start: their defaults would end the process."""
+    """Install signal handlers before the slow imports: the default actions would end the process."""
     signals.install_early_handlers()
     from hoplane.conductor import main
 
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -1,4 +1,4 @@
-"""Watches discovery; what it tells goes to the core as it comes."""
+"""Watches discovery and passes its lists to the core as they arrive."""
 
 from __future__ import annotations
 
@@ -19,103 +19,112 @@
 
 
 class Discovery:
-    """One watch that goes on for ever, from a version that is known."""
+    """An endless watch that continues from the last known version."""
 
     def __init__(
-        self, pool: Pool, address: str, read: Callable[[dict], Listed], feed: Callable, pacing: Pacing
+        self, pool: Pool, address: str, parse: Callable[[dict], Listed], feed: Callable, pacing: Pacing
     ) -> None:
-        self.pool, self.address, self.read, self.feed = pool, address, read, feed
+        self.pool, self.address, self.parse, self.feed = pool, address, parse, feed
         self.pacing = pacing
         self.index: int | None = None
         self.failing = False
-        self.heard = asyncio.Event()  # set with the first answer
-        self.after: Discovery | None = None  # the watch of the configuration after ours
+        self.responded = asyncio.Event()  # set by the first response
+        self.successor: Discovery | None = None  # the watch that replaces this one after a reload
 
     def __str__(self) -> str:
         return self.address
 
     def moved(self, config: Config) -> Discovery:
-        """Give a new configuration's watch: another agent may number lists anew, so it asks for all."""
+        """Return the watch for a new configuration.
+
+        It requests the complete list, as another agent may number lists differently.
+        """
         pacing = Pacing(config.settings, self.pacing.rng)
         address = "{}:{}".format(*config.discovery)
-        self.after = Discovery(self.pool, address, self.read, self.feed, pacing)
-        return self.after
+        self.successor = Discovery(self.pool, address, self.parse, self.feed, pacing)
+        return self.successor
+
+    def process_response(self, response: object) -> int:
+        """Process a response and return its number of entries.
 
-    def take(self, answer: object) -> int:
-        """Take an answer in: a whole list replaces all, changes apply to a list we have. Gives its lines."""
-        if not isinstance(answer, dict) or not isinstance(answer.get("index"), int):
+        A complete list replaces the known one, changes apply to a list that is known.
+        """
+        if not isinstance(response, dict) or not isinstance(response.get("index"), int):
             raise ValueError("the list has no index")
-        whole = bool(answer.get("snapshot"))
-        listed = self.read(answer)
-        if not whole and self.index is not None and answer["index"] < self.index:
-            # Guards against an agent that started anew: its changes belong to a list that we do not have, and
-            # the whole one is asked for. Only what they say of drains is told by now, and does no harm.
-            log.write_event("list_went_back", index=answer["index"], known=self.index)
+        complete = bool(response.get("snapshot"))
+        listed = self.parse(response)
+        if not complete and self.index is not None and response["index"] < self.index:
+            # The agent was restarted: its changes belong to an unknown list, and the complete one is
+            # requested. Drains among them are applied already, as they count as reported by now and do no
+            # harm.
+            log.write_event("list_went_back", index=response["index"], known=self.index)
             self.index = None
             drains = tuple(each for each in listed.endpoints if each.state is not State.LIVE)
             if drains:
                 self.feed(replace(listed, endpoints=drains))
             return len(drains)
-        self.index = answer["index"]
-        if whole or listed.endpoints:
+        self.index = response["index"]
+        if complete or listed.endpoints:
             self.feed(listed)
         return len(listed.endpoints)
 
     @property
-    def outdated(self) -> bool:
-        """Tell whether a watch after ours has answered, however many reloads lie between."""
-        after = self.after
-        while after is not None and not after.heard.is_set():
-            after = after.after
-        return after is not None
+    def superseded(self) -> bool:
+        """Whether a later watch has received a response, however many reloads lie between."""
+        successor = self.successor
+        while successor is not None and not successor.responded.is_set():
+            successor = successor.successor
+        return successor is not None
 
     async def first(self) -> None:
-        """Wait for the first answer, unless discovery is silent: then what is known has to do.
+        """Wait for the first response; if discovery is silent, the known list has to do.
 
-        Guards against requests that go by a list as old as the process before: what came since counts as told
-        from this one's first moment."""
+        Otherwise requests would be served by a list as old as the previous process, although changes since
+        then count as reported from the start of this one.
+        """
         with suppress(TimeoutError):
             async with asyncio.timeout(self.pacing.first.total_seconds()):
-                await self.heard.wait()
+                await self.responded.wait()
 
     async def watch(self) -> None:
-        """Watch until cancelled, or until the watch after ours does.
+        """Watch until cancelled or replaced by a successor.
 
-        Guards against a list that has come and is not read yet as a reload moves the watch: it counts as told
-        though the next agent be silent. So our last call goes on to its end."""
+        A list that has arrived but is not read yet when a reload replaces the watch counts as reported, even
+        if the next agent does not respond. So the last call is completed.
+        """
         loop = asyncio.get_running_loop()
-        answered = loop.time()  # when the last good call began
-        while self.after is None:
-            begun = loop.time()
-            silent = await self.ask()
+        last_success = loop.time()  # when the last successful call started
+        while self.successor is None:
+            started_at = loop.time()
+            silent = await self.poll()
             if silent is None:
-                answered = begun
+                last_success = started_at
                 self.pacing.answered()
-                self.heard.set()
+                self.responded.set()
                 if self.failing:
                     log.write_event("discovery_back", index=self.index)
                 self.failing = False
             else:
-                unheard = timedelta(seconds=loop.time() - answered)
-                await asyncio.sleep(self.pacing.failed(silent, unheard).total_seconds())
+                since_success = timedelta(seconds=loop.time() - last_success)
+                await asyncio.sleep(self.pacing.failed(silent, since_success).total_seconds())
 
-    async def ask(self) -> bool | None:
-        """Make one call and take its answer in; where that fails, tell whether nobody answered."""
-        path, (wait, patience) = "/registry/instances", self.pacing.call()
+    async def poll(self) -> bool | None:
+        """Make one call and process the response; if it fails, return whether there was no response."""
+        path, (hold_time, response_timeout) = "/registry/instances", self.pacing.call()
         if self.index is not None:
-            path += f"?since={self.index}&timeout_ms={wait // timedelta(milliseconds=1)}"
+            path += f"?since={self.index}&timeout_ms={hold_time // timedelta(milliseconds=1)}"
         self.pool.counters["lists" if self.index is None else "watches"] += 1
         try:
-            async with asyncio.timeout(patience.total_seconds()):
-                async with self.pool.request("GET", self.address, path) as answer:
-                    body = await answer.read()
-            if answer.status != 200:
-                raise ValueError(f"status {answer.status}")
-            if not self.outdated:
-                self.pool.counters["list_lines"] += self.take(orjson.loads(body))
+            async with asyncio.timeout(response_timeout.total_seconds()):
+                async with self.pool.request("GET", self.address, path) as response:
+                    body = await response.read()
+            if response.status != 200:
+                raise ValueError(f"status {response.status}")
+            if not self.superseded:
+                self.pool.counters["list_lines"] += self.process_response(orjson.loads(body))
         except Exception as error:
             self.pool.counters["watches_failed"] += 1
-            # Guards against an answer of any form that would end the watch, and with it the list, unseen.
+            # A response of any form must not end the watch unnoticed, and the list with it.
             if not self.failing:
                 log.write_event("discovery_lost", error=repr(error))
             self.failing = True
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -1,4 +1,4 @@
-"""What each process on an inherited socket tells the others through a file in `$TMPDIR`, every 100 ms."""
+"""Exchanges the state of processes that share an inherited socket through files in `$TMPDIR`."""
 
 from __future__ import annotations
 
@@ -15,91 +15,100 @@
 from hoplane import log
 from hoplane.core.handover import Peer, Verdict, judge
 
-EVERY = timedelta(milliseconds=100)
-PREFIX = "hoplane-process-"
+REPORT_INTERVAL = timedelta(milliseconds=100)
+FILE_PREFIX = "hoplane-process-"
 
 
 def monotonic() -> timedelta:
-    """Give the machine's monotonic clock, which all its processes read alike and no step moves."""
+    """Return the machine's monotonic clock, which is the same in all processes and has no steps."""
     return timedelta(seconds=time.monotonic())
 
 
-def wall() -> timedelta:
-    """Give the wall clock's time."""
+def wall_clock() -> timedelta:
+    """Return the wall-clock time."""
     return timedelta(seconds=time.time())
 
 
-def read_peer(told: dict, told_wall: timedelta, wall: timedelta, monotonic: timedelta) -> Peer:
-    """Read what a process told of itself, on the monotonic clock.
+def read_peer(report: dict, modified_at: timedelta, wall_now: timedelta, monotonic_now: timedelta) -> Peer:
+    """Read the state that a process has reported, in times of the monotonic clock.
 
-    One of a release before 0.5 tells wall times alone: `told_wall`, its file's time, and its start are put on
-    our clock by how long ago they are now."""
-    if "monotonic_told" in told:
-        born, at = (timedelta(seconds=float(told[key])) for key in ("monotonic_born", "monotonic_told"))
+    Releases before 0.5 report wall-clock times only: `modified_at`, the modification time of the file, and
+    the start time are converted by their age.
+    """
+    if "monotonic_told" in report:
+        started_at, reported_at = (
+            timedelta(seconds=float(report[key])) for key in ("monotonic_born", "monotonic_told")
+        )
     else:
-        born = monotonic - (wall - timedelta(seconds=float(told["born"])))
-        at = monotonic - (wall - told_wall)
-    return Peer(int(told["pid"]), born, int(told["open"]), at)
+        started_at = monotonic_now - (wall_now - timedelta(seconds=float(report["born"])))
+        reported_at = monotonic_now - (wall_now - modified_at)
+    return Peer(int(report["pid"]), started_at, int(report["open"]), reported_at)
 
 
 class Handover:
-    """Tells of this process, reads of the others, and acts on the verdict."""
-
-    def __init__(self, folder: Path, open_now: Callable[[], int], give_way: Callable[[], None]) -> None:
-        self.folder, self.open_now, self.give_way = folder, open_now, give_way
-        self.pid, self.born, self.born_wall = os.getpid(), monotonic(), wall()
-        self.path = folder / f"{PREFIX}{self.pid}.json"
-        self.verdict = Verdict(False, False)
-        self.given_way = False
+    """Reports this process, reads the reports of the others, and acts on the decision."""
+
+    def __init__(
+        self, directory: Path, count_open_requests: Callable[[], int], start_handover: Callable[[], None]
+    ) -> None:
+        self.directory, self.count_open_requests, self.start_handover = (
+            directory,
+            count_open_requests,
+            start_handover,
+        )
+        self.pid, self.started_at, self.started_at_wall = os.getpid(), monotonic(), wall_clock()
+        self.path = directory / f"{FILE_PREFIX}{self.pid}.json"
+        self.decision = Verdict(False, False)
+        self.handover_started = False
 
     @property
     def waiting(self) -> bool:
-        """Tell whether an older process still has requests open and this one is to wait."""
-        self.look()
-        return self.verdict.waiting
+        """Whether an older process still has open requests, so that this one is not ready yet."""
+        self.check_peers()
+        return self.decision.waiting
 
     async def run(self) -> None:
-        """Tell and look until cancelled; the file goes with the process's end."""
+        """Report and check until cancelled; the file is removed when the process ends."""
         try:
             while True:
-                self.tell()
-                self.look()
-                await asyncio.sleep(EVERY.total_seconds())
+                self.write_report()
+                self.check_peers()
+                await asyncio.sleep(REPORT_INTERVAL.total_seconds())
         finally:
             with suppress(OSError):
                 self.path.unlink()
 
-    def tell(self) -> None:
-        """Write what this process is, by renaming a whole file over the last one."""
-        told = {
+    def write_report(self) -> None:
+        """Write this process's report, replacing the previous file atomically."""
+        report = {
             "pid": self.pid,
-            "born": self.born_wall.total_seconds(),
-            "open": self.open_now(),
-            "monotonic_born": self.born.total_seconds(),
+            "born": self.started_at_wall.total_seconds(),
+            "open": self.count_open_requests(),
+            "monotonic_born": self.started_at.total_seconds(),
             "monotonic_told": monotonic().total_seconds(),
         }
         new = self.path.with_suffix(".new")
         try:
-            new.write_bytes(orjson.dumps(told))
+            new.write_bytes(orjson.dumps(report))
             new.replace(self.path)
         except OSError as error:
             log.write_event_limited("handover_unwritten", error=str(error))
 
     def peers(self) -> list[Peer]:
-        """Read what the others told; a file that cannot be read counts as none."""
+        """Read the reports of the others; an unreadable file is ignored."""
         found = []
         with suppress(OSError):
-            for path in self.folder.glob(f"{PREFIX}*.json"):
+            for path in self.directory.glob(f"{FILE_PREFIX}*.json"):
                 with suppress(OSError, ValueError, KeyError, TypeError):
-                    told = orjson.loads(path.read_bytes())
-                    written = timedelta(seconds=path.stat().st_mtime)
-                    found.append(read_peer(told, written, wall(), monotonic()))
+                    report = orjson.loads(path.read_bytes())
+                    modified_at = timedelta(seconds=path.stat().st_mtime)
+                    found.append(read_peer(report, modified_at, wall_clock(), monotonic()))
         return found
 
-    def look(self) -> None:
-        """Judge anew, and give way once a newer process is there."""
-        self.verdict = judge(self.pid, self.born, self.peers(), monotonic())
-        if self.verdict.superseded and not self.given_way:
-            self.given_way = True
+    def check_peers(self) -> None:
+        """Decide again, and start draining once a newer process is there."""
+        self.decision = judge(self.pid, self.started_at, self.peers(), monotonic())
+        if self.decision.superseded and not self.handover_started:
+            self.handover_started = True
             log.write_event("giving_way")
-            self.give_way()
+            self.start_handover()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for clients, endpoints and discovery, and the real program as a process."""
+"""Test doubles for clients, endpoints and discovery, and the real program as a process."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 import sys
 from contextlib import asynccontextmanager, suppress
 
-LIMIT = 20  # seconds that any wait may take before a test fails
+LIMIT = 20  # for any single wait in a test
 
 
 def within(work, seconds=LIMIT):
@@ -22,7 +22,7 @@
 
 
 async def read_message(reader, begun=lambda first: None):
-    """Read one HTTP/1.1 message: its first line, headers in lower case, and body; None at the end."""
+    """Read one HTTP/1.1 message: start line, lower-case headers and body; None at the end."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
         begun(head[0])
@@ -56,7 +56,7 @@
 
 
 class Bell:
-    """Wakes all who wait for something; with no lock that one who is cancelled could leave held for ever."""
+    """Wakes all waiters; it has no lock that a cancelled waiter could leave acquired."""
 
     def __init__(self):
         self.event = asyncio.Event()
@@ -71,7 +71,7 @@
 
 
 class Server:
-    """A stand-in that answers each call by `play(call, writer)`, and keeps what came."""
+    """Answers each call with `play(call, writer)` and records the calls."""
 
     def __init__(self, play):
         self.play, self.calls, self.came, self.closed = play, [], Bell(), asyncio.Queue()
@@ -93,7 +93,7 @@
                 gone = asyncio.ensure_future(reader.read(1)) if not playing.done() else None
                 await asyncio.wait({playing, gone}, return_when=asyncio.FIRST_COMPLETED)
                 if gone is not None and gone.done():
-                    gone.exception()  # a reset ends it as well as an end does
+                    gone.exception()  # retrieve a possible reset, which ends the call like a close
                 if not playing.done():
                     playing.cancel()
                     self.closed.put_nowait(call)
@@ -106,7 +106,7 @@
             writer.close()
 
     def begun(self, first, writer):
-        """See a call whose head is there; a ConnectionError ends it unread."""
+        """Handle a complete head; a ConnectionError drops the connection."""
 
     def named(self, start):
         return [call for call in self.calls if call[0].startswith(start)]
@@ -117,7 +117,7 @@
 
 
 class Discovery(Server):
-    """Discovery's agent: a list that can be changed under a watch."""
+    """Discovery's agent, whose list can change during a watch."""
 
     def __init__(self, entries):
         super().__init__(self.answer)
@@ -188,7 +188,7 @@
         self.process, self.address, self.log = process, address, []
 
     async def line(self, event):
-        """Wait for a line of the log."""
+        """Wait for a log line of an event."""
         while True:
             raw = await within(self.process.stderr.readline())
             assert raw, f"the program ended before it said {event}: {self.log}"
@@ -198,7 +198,7 @@
                 return self.log[-1]
 
     def reload(self, text=None, **changes):
-        """Write the configuration file anew and send SIGHUP."""
+        """Rewrite the configuration file and send SIGHUP."""
         new = self.file.with_suffix(".new")
         new.write_text(json.dumps({**self.told, **changes}) if text is None else text)
         new.rename(self.file)
@@ -209,7 +209,7 @@
         return await within(self.process.wait())
 
     async def faults(self):
-        """End the program and give the lines of its log that tell of its own faults."""
+        """Stop the program and return the log lines that report internal faults."""
         assert await self.stop() == 0
         lines = [json.loads(line) for line in (await within(self.process.stderr.read())).splitlines()]
         bad = ("library", "task_broke", "request_broke", "relay_broke", "loop_fault")
@@ -220,7 +220,7 @@
         return await asyncio.open_connection(host, int(port))
 
     async def ask(self, data):
-        """Send raw bytes on a new connection and give the whole answer."""
+        """Send raw bytes on a new connection and return the whole response."""
         reader, writer = await self.connect()
         writer.write(data)
         try:
@@ -230,7 +230,7 @@
 
 
 async def spawn(*arguments, pass_fds=(), first="", **environ):
-    """Start the program; `first` is run in its process before it, as to make one of its spans long."""
+    """Start the program; `first` is code to run in its process before it, for example to lengthen a delay."""
     begin = ("-c", f"{first}\nimport sys; from hoplane import __main__ as it; sys.exit(it.start())")
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -258,7 +258,7 @@
 
 @asynccontextmanager
 async def platform(tmp_path, entries, address=None, environ=None, pass_fds=(), first="", **changes):
-    """Start the program as the platform does, before a discovery that lists the entries."""
+    """Start the program as the platform does, with a discovery that lists the entries."""
     address = address or f"127.0.0.1:{free_port()}"
     async with Discovery(entries) as discovery:
         told = {
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -246,20 +246,22 @@
     told = []
     watch = Discovery(None, "", read_list, told.append, Pacing(settings(), random.Random(1)))
     one, two = entry("a", "127.0.0.1:1", "prefill"), entry("b", "127.0.0.1:2", "decode", "Odd")
-    watch.take({"index": 5, "snapshot": True, "endpoints": [one]})
-    watch.take({"index": 7, "snapshot": False, "endpoints": [two]})
-    watch.take({"index": 7, "snapshot": False, "endpoints": []})
+    watch.process_response({"index": 5, "snapshot": True, "endpoints": [one]})
+    watch.process_response({"index": 7, "snapshot": False, "endpoints": [two]})
+    watch.process_response({"index": 7, "snapshot": False, "endpoints": []})
     assert [(each.whole, len(each.endpoints)) for each in told] == [(True, 1), (False, 1)]
     assert told[1].endpoints[0].state.value == "draining", "an unknown status gets nothing new"
-    watch.take({"index": 3, "snapshot": False, "endpoints": [one]})
+    watch.process_response({"index": 3, "snapshot": False, "endpoints": [one]})
     assert watch.index is None and len(told) == 2, "changes of another list are not applied"
     watch.index = 7
-    watch.take({"index": 3, "snapshot": False, "endpoints": [one, {**two, "status": "Terminating"}]})
+    watch.process_response(
+        {"index": 3, "snapshot": False, "endpoints": [one, {**two, "status": "Terminating"}]}
+    )
     assert watch.index is None and not told[2].whole, "but for the drains they tell"
     assert [(each.name, each.state.value) for each in told[2].endpoints] == [("b", "draining")]
     for wrong in ({}, [], {"index": 1, "endpoints": {"name": "x"}}, json.loads("null")):
         try:
-            watch.take(wrong)
+            watch.process_response(wrong)
         except ValueError:
             continue
         raise AssertionError(wrong)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Replacing the process: a second one beside the first, on the listening socket that the platform holds."""
+"""Process upgrade: a second process serves beside the first on a listening socket that the platform holds."""
 
 import asyncio
 import socket
@@ -8,27 +8,27 @@
 from test_platform import desk, run
 
 
-def held_socket():
-    """Give a listening socket as the platform holds it, and its address."""
-    held = socket.socket(socket.AF_INET)
-    held.bind(("127.0.0.1", free_port()))
-    held.listen(64)
-    held.set_inheritable(True)
-    return held, f"127.0.0.1:{held.getsockname()[1]}"
+def create_platform_socket():
+    """Return a listening socket as the platform holds it, and its address."""
+    platform_socket = socket.socket(socket.AF_INET)
+    platform_socket.bind(("127.0.0.1", free_port()))
+    platform_socket.listen(64)
+    platform_socket.set_inheritable(True)
+    return platform_socket, f"127.0.0.1:{platform_socket.getsockname()[1]}"
 
 
-def test_two_processes_serve_from_the_inherited_socket_on_the_same_address(tmp_path):
+def test_two_processes_serve_on_one_inherited_socket(tmp_path):
     async def test():
-        held, address = held_socket()
-        told = {
+        platform_socket, address = create_platform_socket()
+        options = {
             "address": address,
-            "environ": {"EDGE_SOCKET_FD": str(held.fileno())},
-            "pass_fds": (held.fileno(),),
+            "environ": {"EDGE_SOCKET_FD": str(platform_socket.fileno())},
+            "pass_fds": (platform_socket.fileno(),),
         }
-        with held:
+        with platform_socket:
             (tmp_path / "old").mkdir()
             (tmp_path / "new").mkdir()
-            async with desk(tmp_path / "old", **told) as old, desk(tmp_path / "new", **told) as new:
+            async with desk(tmp_path / "old", **options) as old, desk(tmp_path / "new", **options) as new:
                 for number in range(6):
                     first, _, body = await old.ask(chat(id=f"r{number}"))
                     assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
@@ -40,7 +40,7 @@
     run(test())
 
 
-def test_a_named_descriptor_that_is_no_number_is_refused_with_its_key(tmp_path):
+def test_a_descriptor_that_is_not_a_number_is_refused_with_its_key(tmp_path):
     async def test():
         from hoplane import config
 
@@ -49,52 +49,54 @@
         except config.ConfigError as error:
             assert str(error).startswith("EDGE_SOCKET_FD:")
         else:
-            raise AssertionError("a bad descriptor was taken")
+            raise AssertionError("an invalid descriptor was accepted")
         assert config.descriptor("3") == 3 and config.descriptor(None) is None
         await asyncio.sleep(0)
 
     run(test())
 
 
-def test_the_old_process_gives_way_and_the_new_says_yes_once_it_is_empty(tmp_path):
+def test_the_old_process_drains_and_the_new_one_is_ready_once_it_is_empty(tmp_path):
     async def test():
-        held, address = held_socket()
-        shared = tmp_path / "shared"
-        shared.mkdir()
-        told = {
+        platform_socket, address = create_platform_socket()
+        shared_directory = tmp_path / "shared"
+        shared_directory.mkdir()
+        options = {
             "address": address,
-            "pass_fds": (held.fileno(),),
-            "environ": {"EDGE_SOCKET_FD": str(held.fileno()), "TMPDIR": str(shared)},
+            "pass_fds": (platform_socket.fileno(),),
+            "environ": {"EDGE_SOCKET_FD": str(platform_socket.fileno()), "TMPDIR": str(shared_directory)},
         }
-        release = asyncio.Event()
+        finish_stream = asyncio.Event()
 
-        async def slow(call, writer):
+        async def stream_until_released(call, writer):
             if call[0].startswith("POST /v1/chat"):
                 writer.write(STREAM + chunk(EVENT))
-                await release.wait()
+                await finish_stream.wait()
                 writer.write(chunk(USAGE + DONE) + b"0\r\n\r\n")
             else:
                 writer.write(message("HTTP/1.1 409 Conflict"))
 
         old_operator, new_operator = operator_address(), operator_address()
-        with held:
+        with platform_socket:
             (tmp_path / "old").mkdir()
             (tmp_path / "new").mkdir()
-            async with desk(tmp_path / "old", write=slow, operator=old_operator, **told) as old:
+            async with desk(
+                tmp_path / "old", write=stream_until_released, operator=old_operator, **options
+            ) as old:
                 idle = await old.connect()
                 streaming = await old.connect()
                 streaming[1].write(chat(id="long"))
                 await old.writer.wait_for("POST /v1/chat")
                 assert await call(old_operator, b"HEALTH\r\n") == ["+OK ready"]
-                async with desk(tmp_path / "new", operator=new_operator, **told) as new:
+                async with desk(tmp_path / "new", operator=new_operator, **options) as new:
                     await old.line("giving_way")
                     assert (await call(old_operator, b"HEALTH\r\n"))[0].startswith("-ERR")
                     answer = await call(new_operator, b"HEALTH\r\n")
                     assert answer == ["-ERR the process before is finishing"], answer
                     assert await within(idle[0].read(), 2) == b"", "the idle connection is closed"
                     first, _, body = await new.ask(chat(id="meanwhile"))
-                    assert first.startswith("HTTP/1.1 200"), "the new process takes what comes"
-                    release.set()
+                    assert first.startswith("HTTP/1.1 200"), "the new process accepts new requests"
+                    finish_stream.set()
                     first, headers, body = await within(read_message(streaming[0]))
                     assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
                     for _ in range(30):
@@ -102,15 +104,15 @@
                             break
                         await asyncio.sleep(0.1)
                     else:
-                        raise AssertionError("the new process never said yes")
+                        raise AssertionError("the new process never became ready")
                     assert await old.stop() == 0
                     assert await new.stop() == 0
-                assert not list(shared.glob("hoplane-process-*")), "each process takes its file away"
+                assert not list(shared_directory.glob("hoplane-process-*")), "each process removes its file"
 
     run(test())
 
 
-def test_a_new_process_says_yes_at_last_while_the_old_one_holds_on():
+def test_a_new_process_becomes_ready_after_a_delay_if_the_old_one_stays_busy():
     from datetime import timedelta
 
     from hoplane.core.handover import PATIENCE, Peer, judge
@@ -118,8 +120,12 @@
     s = timedelta(seconds=1)
     old = Peer(10, 100 * s, 3, 104 * s)
     assert judge(11, 103 * s, [old], 104 * s).waiting
-    assert not judge(11, 103 * s, [old], 103 * s + PATIENCE).waiting, "it says yes after its patience"
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, "the old one is empty"
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, "the old one is gone"
+    assert not judge(11, 103 * s, [old], 103 * s + PATIENCE).waiting, "it is ready after the maximum delay"
+    assert not judge(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, (
+        "the old one has no open requests"
+    )
+    assert not judge(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, (
+        "the old one no longer reports"
+    )
     assert judge(10, 100 * s, [Peer(11, 103 * s, 0, 104 * s)], 104 * s).superseded
     assert not judge(11, 103 * s, [old], 104 * s).superseded
