--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The program on the platform's protocol, as clients, endpoints and discovery see it."""
+"""End-to-end tests of the program on the platform's protocol, with test clients, endpoints and discovery."""
 
 import asyncio
 import json
@@ -32,7 +32,7 @@
 
 
 async def read_it(call, writer):
-    """Play a reader that reads, holds nothing and lets everything go."""
+    """Act as a reader that completes reads, holds no reservations and accepts every release."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
     else:
@@ -40,7 +40,7 @@
 
 
 async def write_it(call, writer):
-    """Play a writer that streams an answer."""
+    """Act as a writer that streams a response."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(STREAM + chunk(EVENT) + chunk(USAGE + DONE) + b"0\r\n\r\n")
     else:
@@ -52,22 +52,22 @@
 
 
 async def never_read(call, writer):
-    """Play a reader that never ends a read, and answers all else."""
+    """Act as a reader that never completes a read and answers everything else."""
     await (hang if call[0].startswith("POST /v1/chat") else read_it)(call, writer)
 
 
-def once_asked_for_a_place():
-    """Give a reader that ends its read once the writer was asked for a place, and that writer."""
-    asked = asyncio.Event()
+def reader_waiting_for_reservation():
+    """Return a reader that completes its read once the writer got a reservation request, and that writer."""
+    reservation_requested = asyncio.Event()
 
     async def read(call, writer):
         if call[0].startswith("POST /v1/chat"):
-            await within(asked.wait())
+            await within(reservation_requested.wait())
         await read_it(call, writer)
 
     async def write(call, writer):
         if call[0].startswith("POST /v1/holds"):
-            asked.set()
+            reservation_requested.set()
         await write_it(call, writer)
 
     return {"read": read, "write": write}
@@ -88,7 +88,7 @@
 
 def test_a_request_is_read_then_written_and_its_events_pass_unchanged(tmp_path):
     async def test():
-        async with desk(tmp_path, **once_asked_for_a_place()) as program:
+        async with desk(tmp_path, **reader_waiting_for_reservation()) as program:
             first, headers, body = await program.ask(chat(body=b'{"stream": true,  "n":1}'))
             assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
             for server in (program.reader, program.writer):
@@ -103,13 +103,13 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 3])
-def test_each_event_reaches_the_client_before_the_next_is_written_through_a_stop_too(tmp_path, pieces):
-    """The endpoint writes an event only once the client has the last: one held back would end the test."""
+def test_each_event_reaches_the_client_before_the_next_one_even_during_shutdown(tmp_path, pieces):
+    """The endpoint writes each event only after the client has received the previous one."""
 
     async def test():
-        had = asyncio.Queue()
+        received = asyncio.Queue()
 
-        async def one_by_one(call, writer):
+        async def write_one_by_one(call, writer):
             if not call[0].startswith("POST /v1/chat"):
                 await write_it(call, writer)
                 return
@@ -118,10 +118,10 @@
             for _ in range(4):
                 for at in range(0, len(EVENT), size):
                     writer.write(chunk(EVENT[at : at + size]))
-                await had.get()
+                await received.get()
             writer.write(chunk(USAGE + DONE) + b"0\r\n\r\n")
 
-        async with desk(tmp_path, write=one_by_one) as program:
+        async with desk(tmp_path, write=write_one_by_one) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             await within(reader.readuntil(b"\r\n\r\n"))
@@ -131,7 +131,7 @@
                 if number == 1:
                     program.process.terminate()
                     await program.line("stopping")
-                had.put_nowait(None)
+                received.put_nowait(None)
             rest = await within(reader.read())
             assert DONE in rest and rest.endswith(b"0\r\n\r\n")
             assert await within(program.process.wait()) == 0
@@ -140,14 +140,14 @@
     run(test())
 
 
-def test_a_key_by_which_endpoints_discard_repeats_passes_with_each_attempt(tmp_path):
-    """Guards a class whose repeats an endpoint discards: without its key each would run."""
+def test_the_idempotency_key_is_sent_with_each_attempt(tmp_path):
+    """Without the key, each repeat of a request would run at an endpoint that discards repeats by it."""
 
     async def test():
         async with desk(tmp_path) as program:
-            more = b"Host: h\r\nidempotency-key: 20fb\r\nContent-Type: text/x"
-            asked = chat().replace(b"Host: h", more)
-            assert (await program.ask(asked))[0].split()[1] == "200"
+            extra_headers = b"Host: h\r\nidempotency-key: 20fb\r\nContent-Type: text/x"
+            request = chat().replace(b"Host: h", extra_headers)
+            assert (await program.ask(request))[0].split()[1] == "200"
             assert (await program.ask(chat(id="r2")))[0].split()[1] == "200"
             for server in (program.reader, program.writer):
                 with_key, without = server.named("POST /v1/chat/completions")
@@ -175,12 +175,12 @@
     ],
     ids=range(11),
 )
-def test_what_is_malformed_is_answered_and_sent_nowhere(tmp_path, data, status):
+def test_a_malformed_request_is_refused_and_not_sent_to_an_endpoint(tmp_path, data, status):
     async def test():
         async with desk(tmp_path) as program:
             assert (await program.ask(data))[0].split()[1] == str(status)
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
-            assert len(program.reader.named("POST")) == 1, "only the good one reached a reader"
+            assert len(program.reader.named("POST")) == 1, "only the valid one reached a reader"
 
     run(test())
 
@@ -195,13 +195,13 @@
     run(test())
 
 
-def test_path_and_query_pass_unchanged_also_as_a_whole_url_and_after_100_continue(tmp_path):
+def test_path_and_query_are_unchanged_also_in_an_absolute_url_and_after_100_continue(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
             query = "?a=%7e%2F&b=+x"
             assert (await program.ask(chat(query=query)))[0].split()[1] == "200"
-            whole = chat(id="r2", query=query).replace(b"POST /", b"POST http://service.internal/")
-            assert (await program.ask(whole))[0].split()[1] == "200"
+            absolute_url = chat(id="r2", query=query).replace(b"POST /", b"POST http://service.internal/")
+            assert (await program.ask(absolute_url))[0].split()[1] == "200"
             for call in program.writer.named("POST /v1/chat"):
                 assert call[0].split()[1] == "/v1/chat/completions" + query
             reader, writer = await program.connect()
@@ -214,19 +214,19 @@
     run(test())
 
 
-def test_a_client_connection_too_many_takes_an_idle_ones_place_or_is_refused(tmp_path):
+def test_a_connection_over_the_limit_evicts_an_idle_one_or_is_refused(tmp_path):
     async def test():
         async with desk(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
-            idle, asked = await program.connect()
-            asked.write(message("GET /health/ready HTTP/1.1", Host="h"))
+            idle, idle_writer = await program.connect()
+            idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle)))[0].split()[1] == "200"
-            kept = []
-            for number in range(21):  # the last one takes the place of the idle one
+            open_writers = []
+            for number in range(21):  # the last one evicts the idle one
                 reader, writer = await program.connect()
                 head = chat(id=f"r{number}").partition(b"\r\n\r\n")[0]
                 writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
                 assert (await within(read_message(reader)))[0].split()[1] == "100"
-                kept.append(writer)
+                open_writers.append(writer)
             assert await within(idle.read()) == b""
             first, headers, _ = await program.ask(chat(id="over"))
             assert first.split()[1] == "503" and headers["retry-after"] and headers["connection"] == "close"
@@ -234,8 +234,8 @@
     run(test())
 
 
-def test_a_stream_that_breaks_ends_without_the_last_chunk(tmp_path):
-    async def breaks(call, writer):
+def test_a_broken_stream_ends_without_the_last_chunk(tmp_path):
+    async def break_stream(call, writer):
         if call[0].startswith("POST /v1/chat"):
             writer.write(STREAM + chunk(EVENT))
             await writer.drain()
@@ -244,39 +244,41 @@
             await write_it(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=breaks) as program:
+        async with desk(tmp_path, write=break_stream) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             got = await within(reader.read())
             assert EVENT in got and not got.endswith(b"0\r\n\r\n")
-            assert len(program.writer.named("POST /v1/chat")) == 1, "nothing further is sent"
+            assert len(program.writer.named("POST /v1/chat")) == 1, "no further attempt is made"
 
     run(test())
 
 
-@pytest.mark.parametrize(("cls", "status", "times"), [("booking", "502", 1), ("lookup", "200", 2)])
-def test_what_may_have_run_is_repeated_only_where_its_class_permits(tmp_path, cls, status, times):
-    tries = []
+@pytest.mark.parametrize(("cls", "status", "expected_calls"), [("booking", "502", 1), ("lookup", "200", 2)])
+def test_a_request_that_may_have_run_is_retried_only_if_its_class_permits(
+    tmp_path, cls, status, expected_calls
+):
+    failed_calls = []
 
-    async def fails_once(call, writer):
-        if call[0].startswith("POST /v1/chat") and not tries:
-            tries.append(call)
-            writer.close()  # the request had come in whole: it may have run
+    async def fail_once(call, writer):
+        if call[0].startswith("POST /v1/chat") and not failed_calls:
+            failed_calls.append(call)
+            writer.close()  # the request had arrived completely, so it may have run
         else:
             await write_it(call, writer)
 
     async def test():
-        async with Server(fails_once) as second, desk(tmp_path, write=fails_once) as program:
+        async with Server(fail_once) as second, desk(tmp_path, write=fail_once) as program:
             await program.discovery.tell([*program.entries, entry("w2", second.address, "decode")])
             await program.line("endpoints")
             assert (await program.ask(chat(cls=cls)))[0].split()[1] == status
             chats = program.writer.named("POST /v1/chat") + second.named("POST /v1/chat")
-            assert len(chats) == times
+            assert len(chats) == expected_calls
 
     run(test())
 
 
-def test_a_client_that_leaves_ends_the_read_and_what_it_left_is_released(tmp_path):
+def test_a_client_disconnect_ends_the_read_and_releases_its_reservations(tmp_path):
     async def test():
         async with desk(tmp_path, read=never_read) as program:
             _, writer = await program.connect()
@@ -289,7 +291,7 @@
     run(test())
 
 
-def test_a_request_out_of_time_is_answered_and_released(tmp_path):
+def test_a_request_past_its_deadline_is_refused_and_released(tmp_path):
     async def test():
         async with desk(tmp_path, read=never_read) as program:
             first, headers, _ = await program.ask(chat(left=300))
@@ -299,10 +301,13 @@
     run(test())
 
 
-def test_a_request_given_up_on_is_answered_at_once(tmp_path):
+def test_a_request_without_a_usable_endpoint_is_refused_at_once(tmp_path):
     async def test():
-        gone = [entry("r1", "127.0.0.1:1", "prefill"), entry("w1", "127.0.0.1:1", "decode", "Terminating")]
-        async with platform(tmp_path, gone) as program:
+        endpoints = [
+            entry("r1", "127.0.0.1:1", "prefill"),
+            entry("w1", "127.0.0.1:1", "decode", "Terminating"),
+        ]
+        async with platform(tmp_path, endpoints) as program:
             clock = asyncio.get_running_loop().time
             before = clock()
             first, headers, _ = await program.ask(chat(left=9000))
@@ -326,19 +331,19 @@
     run(test())
 
 
-def test_sigterm_finishes_what_was_taken_and_turns_off_keep_alive(tmp_path):
-    go_on = asyncio.Event()
+def test_sigterm_finishes_accepted_requests_and_disables_keep_alive(tmp_path):
+    resume = asyncio.Event()
 
-    async def waits(call, writer):
+    async def wait_midway(call, writer):
         if call[0].startswith("POST /v1/chat"):
             writer.write(STREAM + chunk(EVENT))
-            await go_on.wait()
+            await resume.wait()
             writer.write(chunk(DONE) + b"0\r\n\r\n")
         else:
             await write_it(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=waits) as program:
+        async with desk(tmp_path, write=wait_midway) as program:
             idle_reader, idle_writer = await program.connect()
             idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle_reader)))[0].split()[1] == "200"
@@ -347,17 +352,17 @@
             await program.writer.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.line("stopping")
-            late = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
-            assert late[0].split()[1] == "503" and late[1]["connection"] == "close"
+            late_response = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
+            assert late_response[0].split()[1] == "503" and late_response[1]["connection"] == "close"
             assert await within(idle_reader.read()) == b"", "an idle connection is closed"
-            go_on.set()
+            resume.set()
             assert (await within(read_message(reader)))[2] == EVENT + DONE
             assert await within(program.process.wait()) == 0
 
     run(test())
 
 
-def test_a_wrong_configuration_names_the_key(tmp_path):
+def test_a_configuration_error_names_the_key(tmp_path):
     async def test():
         with pytest.raises(AssertionError, match="limits.sockets: must be at least 64"):
             async with platform(tmp_path, [], limits={"memory_mb": 192, "sockets": 32}):
@@ -366,7 +371,7 @@
     run(test())
 
 
-def test_a_release_goes_round_an_endpoint_that_does_not_answer(tmp_path):
+def test_a_release_is_sent_to_another_endpoint_if_one_does_not_respond(tmp_path):
     async def test():
         async with desk(tmp_path, read=hang) as program:
             assert (await program.ask(chat(left=300)))[0].split()[1] == "503"
@@ -375,40 +380,40 @@
     run(test())
 
 
-def test_one_of_many_keeps_its_turn_at_a_discovery_that_is_slow(tmp_path):
-    """Guards against calls given up and made anew, which hold an overbooked discovery down for all."""
+def test_one_of_many_conductors_does_not_cancel_its_call_to_a_slow_discovery(tmp_path):
+    """Cancelled and repeated calls would keep an overloaded discovery down for all conductors."""
 
     async def test():
         async with desk(tmp_path, settings={**SETTINGS, "balancers": 40, "discovery": "ask"}) as program:
 
-            async def slow(call, writer):
+            async def respond_slowly(call, writer):
                 await asyncio.sleep(1.2)
                 body = {"index": 9, "endpoints": [{**program.entries[0], "status": "Gone"}]}
                 writer.write(message("HTTP/1.1 200 OK", json.dumps(body).encode()))
 
-            program.discovery.play = slow
+            program.discovery.play = respond_slowly
             await program.line("endpoints")
             await program.discovery.wait_for("GET /registry/instances?since=9")
-            assert not program.discovery.closed.qsize(), "no call was given up"
+            assert not program.discovery.closed.qsize(), "no call was cancelled"
 
     run(test())
 
 
-def test_what_a_request_costs_the_fleet_is_counted(tmp_path):
+def test_the_calls_made_for_a_request_are_counted(tmp_path):
     async def test():
-        async with desk(tmp_path, **once_asked_for_a_place()) as program:
+        async with desk(tmp_path, **reader_waiting_for_reservation()) as program:
             await program.ask(chat())
             await program.writer.wait_for("POST /v1/holds/r1")
             program.process.send_signal(signal.SIGTERM)
             counts = await program.line("stopped")
-            wanted = {"asked": 1, "reads": 1, "writes": 1, "holds": 1, "ended_miss": 1, "ended_ok": 1}
-            assert {name: counts.get(name) for name in wanted} == wanted
+            expected = {"asked": 1, "reads": 1, "writes": 1, "holds": 1, "ended_miss": 1, "ended_ok": 1}
+            assert {name: counts.get(name) for name in expected} == expected
             assert counts["connections"] >= 3 and counts["cpu_ms"] > 0
 
     run(test())
 
 
-def test_discovery_that_goes_and_comes_back_is_heard_again(tmp_path):
+def test_the_watch_recovers_after_a_discovery_outage(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
@@ -424,96 +429,107 @@
     run(test())
 
 
-def test_a_watch_whose_answer_is_lost_or_odd_is_asked_anew_within_a_second(tmp_path):
+def test_a_watch_with_a_lost_or_invalid_response_is_retried_within_a_second(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
-            endless = {**program.entries[0], "since_ms": 1e30}
-            await program.discovery.tell([endless])
+            overflowing_entry = {**program.entries[0], "since_ms": 1e30}
+            await program.discovery.tell([overflowing_entry])
             assert "OverflowError" in (await program.line("list_entry_bad"))["error"]
             program.discovery.play, play = hang, program.discovery.play
-            heard = len(program.discovery.calls)
-            await program.discovery.wait_for("GET /registry", heard + 1)
+            calls_before = len(program.discovery.calls)
+            await program.discovery.wait_for("GET /registry", calls_before + 1)
             program.discovery.play = play
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await program.discovery.tell([{**program.entries[0], "status": "Terminating"}])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
-            assert asyncio.get_running_loop().time() - begun < 2
+            assert asyncio.get_running_loop().time() - started_at < 2
 
     run(test())
 
 
-@pytest.mark.parametrize(("kind", "grace", "silent", "most"), [("push", 4, 2.5, 4), ("ask", 1, 0, 7)])
-def test_one_of_230_meets_a_drain_in_time_when_discovery_was_silent(tmp_path, kind, grace, silent, most):
-    """Pushed: what the agent gets at the return counts at once. Asked for: 6 s after a watch fell silent."""
+@pytest.mark.parametrize(("kind", "grace", "silent", "max_seconds"), [("push", 4, 2.5, 4), ("ask", 1, 0, 7)])
+def test_one_of_230_conductors_applies_a_drain_in_time_after_a_silent_discovery(
+    tmp_path, kind, grace, silent, max_seconds
+):
+    """Push: what the agent gets when it returns counts at once. Ask: 6 s after a watch became silent."""
     settings = {**SETTINGS, "balancers": 230, "discovery": kind, "rules": {"drain_grace": grace * 10**9}}
 
     async def test():
         async with desk(tmp_path, settings=settings) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
             program.discovery.play, play = hang, program.discovery.play
-            heard = len(program.discovery.calls)
-            await program.discovery.wait_for("GET /registry", heard + 1)
+            calls_before = len(program.discovery.calls)
+            await program.discovery.wait_for("GET /registry", calls_before + 1)
             await asyncio.sleep(silent)
             program.discovery.play = play
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await program.discovery.tell([{**program.entries[0], "status": "Terminating"}])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
-            assert asyncio.get_running_loop().time() - begun < most
+            assert asyncio.get_running_loop().time() - started_at < max_seconds
 
     run(test())
 
 
-def test_bad_lists_change_nothing_are_told_and_never_end_the_watch(tmp_path):
+def test_invalid_lists_change_nothing_are_logged_and_do_not_end_the_watch(tmp_path):
     async def test():
         async with desk(tmp_path) as program:
             reader, writer_entry = program.entries
             body = None
 
-            async def play(call, writer):
+            async def send_next_response(call, writer):
                 nonlocal body
                 if body is None:
                     await asyncio.Event().wait()
-                answer, body = body, None
-                writer.write(answer)
-                if b"Content-Length: 999" in answer:
+                response, body = body, None
+                writer.write(response)
+                if b"Content-Length: 999" in response:
                     writer.close()
 
-            async def tell(answer, event):
+            async def send_and_wait_for_log(response, event):
                 nonlocal body
-                body = answer
+                body = response
                 return await program.line(event)
 
-            def listed(*entries, index=9, whole=False, **dump):
-                told = {"index": index, "snapshot": whole, "endpoints": entries}
-                return message("HTTP/1.1 200 OK", json.dumps(told, **dump).encode())
+            def make_list(*entries, index=9, complete=False, **json_options):
+                listing = {"index": index, "snapshot": complete, "endpoints": entries}
+                return message("HTTP/1.1 200 OK", json.dumps(listing, **json_options).encode())
 
-            program.discovery.play = play
-            cut = message("HTTP/1.1 200 OK", b'{"index":9,"endp').replace(b"Length: 16", b"Length: 999")
-            assert "Payload" in (await tell(cut, "discovery_lost"))["error"]
-            for wrong in (b"{not JSON", b'{"index":9}'):
-                body = message("HTTP/1.1 200 OK", wrong)
+            program.discovery.play = send_next_response
+            truncated = message("HTTP/1.1 200 OK", b'{"index":9,"endp').replace(b"Length: 16", b"Length: 999")
+            assert "Payload" in (await send_and_wait_for_log(truncated, "discovery_lost"))["error"]
+            for invalid in (b"{not JSON", b'{"index":9}'):
+                body = message("HTTP/1.1 200 OK", invalid)
                 while body is not None:
                     await asyncio.sleep(0.01)
-            nowhere = {key: value for key, value in writer_entry.items() if key != "address"}
-            bad = await tell(listed(nowhere, {**reader, "status": "Terminating"}, indent=2), "list_entry_bad")
-            assert bad["entry"] == 0 and bad["endpoint"] == "w1" and "address" in bad["error"]
-            told = await program.line("endpoints")
-            assert told["not_live"] == {"r1": "draining"}, "the drain beside it is heeded"
-            told = await tell(listed(reader, nowhere, index=10, whole=True), "endpoints")
-            assert told["known"] == 2, "what was known of the other stays"
-            assert (await tell(listed(reader, index=3), "list_went_back"))["known"] == 10
-            odd = {**writer_entry, "status": "Odd"}
-            told = await tell(listed(reader, odd, index=3, whole=True), "endpoints")
-            assert told["not_live"] == {"w1": "draining"}, "an unknown status gets nothing new"
+            entry_without_address = {key: value for key, value in writer_entry.items() if key != "address"}
+            log_line = await send_and_wait_for_log(
+                make_list(entry_without_address, {**reader, "status": "Terminating"}, indent=2),
+                "list_entry_bad",
+            )
+            assert log_line["entry"] == 0 and log_line["endpoint"] == "w1" and "address" in log_line["error"]
+            log_line = await program.line("endpoints")
+            assert log_line["not_live"] == {"r1": "draining"}, "the drain in the same list is applied"
+            log_line = await send_and_wait_for_log(
+                make_list(reader, entry_without_address, index=10, complete=True), "endpoints"
+            )
+            assert log_line["known"] == 2, "the other endpoint's known entry stays"
+            assert (await send_and_wait_for_log(make_list(reader, index=3), "list_went_back"))["known"] == 10
+            entry_with_unknown_status = {**writer_entry, "status": "Odd"}
+            log_line = await send_and_wait_for_log(
+                make_list(reader, entry_with_unknown_status, index=3, complete=True), "endpoints"
+            )
+            assert log_line["not_live"] == {"w1": "draining"}, (
+                "an endpoint of unknown status gets no new requests"
+            )
             assert not [line for line in await program.faults() if line["event"] == "task_broke"]
 
     run(test())
 
 
-def test_a_start_takes_the_list_before_it_takes_clients(tmp_path):
-    """What came since the process before ended counts as told from the first moment; `known` is older."""
+def test_startup_reads_the_list_before_accepting_clients(tmp_path):
+    """Changes since the previous process ended count as reported from the start; `known` is older."""
     old = entry("r1", "127.0.0.1:9", "prefill"), entry("w1", "127.0.0.1:9", "decode")
     listed = [{**old[0], "status": "Terminating"}, old[1]]
 
@@ -526,7 +542,7 @@
     run(test())
 
 
-def test_a_reload_moves_the_watch_and_a_bad_file_changes_nothing(tmp_path):
+def test_a_reload_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path):
     async def test():
         async with Server(write_it) as second, desk(tmp_path) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
@@ -534,21 +550,21 @@
             assert "EDGE_CONFIG" in (await program.line("reload_failed"))["error"]
             program.reload(discovery="nowhere")
             assert "discovery: must be HOST:PORT" in (await program.line("reload_failed"))["error"]
-            assert not program.discovery.closed.qsize(), "the watch goes on"
+            assert not program.discovery.closed.qsize(), "the watch continues"
             listed = [program.entries[0], entry("w2", second.address, "decode")]
             async with Discovery(listed) as moved:
                 program.reload(discovery=moved.address, name="other")
-                told = await program.line("reloaded")
-                assert told["watch"] == moved.address and told["at_next_start"] == ["name"]
+                log_line = await program.line("reloaded")
+                assert log_line["watch"] == moved.address and log_line["at_next_start"] == ["name"]
                 (call, *_) = await moved.wait_for("GET /registry/instances")
-                assert "since" not in call[0], "another agent numbers its lists anew"
+                assert "since" not in call[0], "another agent numbers its lists differently"
                 while (await program.line("endpoints"))["known"] != 2:
                     pass
                 old = len(program.discovery.calls)
                 assert (await program.ask(chat()))[0].split()[1] == "200"
                 assert len(second.named("POST /v1/chat")) == 1 and not program.writer.named("POST")
                 await moved.wait_for("GET /registry/instances?since=1", 4)
-                assert len(program.discovery.calls) == old, "the old watch has ended with its last call"
+                assert len(program.discovery.calls) == old, "the old watch ended with its last call"
                 await moved.tell([{**listed[0], "status": "Terminating"}])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
@@ -556,24 +572,24 @@
     run(test())
 
 
-def test_a_list_that_comes_as_a_reload_moves_the_watch_is_heeded_though_the_next_agent_is_silent(tmp_path):
-    go_on = asyncio.Event()
+def test_a_list_arriving_during_a_reload_is_applied_even_if_the_next_agent_is_silent(tmp_path):
+    resume = asyncio.Event()
 
     async def test():
         async with desk(tmp_path) as program, Server(hang) as silent:
             play, drained = program.discovery.play, {**program.entries[0], "status": "Terminating"}
 
-            async def cut_in_two(call, writer):
+            async def respond_in_two_parts(call, writer):
                 body = json.dumps({"index": 9, "snapshot": False, "endpoints": [drained]}).encode()
-                told = message("HTTP/1.1 200 OK", body)
-                writer.write(told[:-20])
+                response = message("HTTP/1.1 200 OK", body)
+                writer.write(response[:-20])
                 program.reload(discovery=silent.address)
-                await go_on.wait()
-                writer.write(told[-20:])
+                await resume.wait()
+                writer.write(response[-20:])
 
-            program.discovery.play = cut_in_two
+            program.discovery.play = respond_in_two_parts
             await program.line("reloaded")
-            go_on.set()
+            resume.set()
             assert (await program.line("endpoints"))["not_live"] == {"r1": "draining"}
             assert program.discovery.play is not play and await silent.wait_for("GET /registry/instances")
 
@@ -581,39 +597,39 @@
 
 
 @pytest.mark.parametrize("reloads", [1, 2])
-def test_what_an_agent_before_tells_once_the_newest_has_answered_is_too_old(tmp_path, reloads):
-    """With two reloads the agent between is silent."""
+def test_a_response_of_a_previous_agent_is_ignored_once_the_newest_has_responded(tmp_path, reloads):
+    """With two reloads, the agent in between does not respond."""
 
     async def test():
         async with desk(tmp_path) as program, Server(hang) as silent:
-            entries, go_on, done = program.entries, asyncio.Event(), asyncio.Event()
+            entries, resume, done = program.entries, asyncio.Event(), asyncio.Event()
 
-            async def late(call, writer):
+            async def respond_late(call, writer):
                 body = json.dumps({"index": 9, "snapshot": True, "endpoints": entries[:1]}).encode()
-                if not go_on.is_set():
+                if not resume.is_set():
                     if reloads == 2:
                         program.reload(discovery=silent.address)
                         await silent.wait_for("GET /registry/instances")
                     program.reload(discovery=moved.address)
-                    await go_on.wait()
+                    await resume.wait()
                 writer.write(message("HTTP/1.1 200 OK", body))
                 done.set()
 
             async with Discovery([{**entries[0], "status": "Terminating"}, entries[1]]) as moved:
-                program.discovery.play = late
+                program.discovery.play = respond_late
                 await program.line("reloaded")
                 assert (await program.line("endpoints"))["not_live"] == {"r1": "draining"}
-                go_on.set()
+                resume.set()
                 await within(done.wait())
                 await moved.wait_for("GET /registry/instances?since=1", 3)
                 await program.stop()
                 rest = (await within(program.process.stderr.read())).splitlines()
-                assert not [line for line in rest if b'"endpoints"' in line], "nothing of it was taken"
+                assert not [line for line in rest if b'"endpoints"' in line], "the late response was ignored"
 
     run(test())
 
 
-LOADING = """
+SIGTERM_WHILE_LOADING = """
 import importlib.abc, os, signal, sys
 class Loading(importlib.abc.MetaPathFinder):
     def find_spec(self, name, path, target=None):
@@ -624,14 +640,14 @@
 
 
 @pytest.mark.parametrize("when", ["modules are loaded", "the first list is awaited"])
-def test_a_sigterm_while_the_program_starts_ends_it_in_order(tmp_path, when):
+def test_sigterm_during_startup_exits_cleanly(tmp_path, when):
     async def test():
-        async def ended(call, writer):
+        async def send_sigterm(call, writer):
             process.send_signal(signal.SIGTERM)
             await hang(call, writer)
 
-        async with Server(ended) as agent:
-            told = {
+        async with Server(send_sigterm) as agent:
+            config = {
                 "name": "n1",
                 "listen": f"127.0.0.1:{free_port()}",
                 "discovery": agent.address,
@@ -639,8 +655,8 @@
                 "limits": {"memory_mb": 192, "sockets": 1024},
                 "settings": SETTINGS,
             }
-            (tmp_path / "config.json").write_text(json.dumps(told))
-            first = LOADING if when == "modules are loaded" else ""
+            (tmp_path / "config.json").write_text(json.dumps(config))
+            first = SIGTERM_WHILE_LOADING if when == "modules are loaded" else ""
             process = await spawn(EDGE_CONFIG=str(tmp_path / "config.json"), first=first)
             log = await within(process.stderr.read())
             assert await within(process.wait()) == 0, log
@@ -650,14 +666,14 @@
     run(test())
 
 
-def test_a_sighup_while_the_program_starts_is_heeded_once_it_has(tmp_path):
-    """Its default would end the process, and the file may be newer than the one that was read."""
+def test_sighup_during_startup_is_handled_after_startup(tmp_path):
+    """Its default action would end the process, and the file may be newer than the one already read."""
 
     async def test():
         entries = [entry("r1", "127.0.0.1:9", "prefill")]
         async with Discovery(entries) as old, Discovery(entries) as moved:
             address = f"127.0.0.1:{free_port()}"
-            told = {
+            config = {
                 "name": "n1",
                 "listen": address,
                 "discovery": old.address,
@@ -666,16 +682,16 @@
                 "settings": SETTINGS,
             }
             file = tmp_path / "config.json"
-            file.write_text(json.dumps(told))
+            file.write_text(json.dumps(config))
             play = old.play
 
-            async def as_it_starts(call, writer):
-                if "since" not in call[0]:  # the first of all, which the start waits for
-                    file.write_text(json.dumps({**told, "discovery": moved.address}))
+            async def reload_during_start(call, writer):
+                if "since" not in call[0]:  # the very first call, which the startup waits for
+                    file.write_text(json.dumps({**config, "discovery": moved.address}))
                     os.kill(process.pid, signal.SIGHUP)
                 await play(call, writer)
 
-            old.play = as_it_starts
+            old.play = reload_during_start
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
@@ -685,14 +701,14 @@
             )
             try:
                 assert await process.stderr.readline() == b"\n"
-                for _ in range(20):  # while it is loaded
+                for _ in range(20):  # while modules are loaded
                     process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.01)
                 program = Program(process, address)
                 await program.line("started")
-                if not (told := [line for line in program.log if line["event"] == "reloaded"]):
-                    told = [await program.line("reloaded")]
-                assert [line["watch"] for line in told] == [moved.address]
+                if not (reloads := [line for line in program.log if line["event"] == "reloaded"]):
+                    reloads = [await program.line("reloaded")]
+                assert [line["watch"] for line in reloads] == [moved.address]
                 await moved.wait_for("GET /registry/instances")
                 assert await program.stop() == 0
             finally:
@@ -703,16 +719,16 @@
     run(test())
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_nothing_from_coming_back(tmp_path):
+def test_idle_clients_using_all_descriptors_do_not_block_requests_or_discovery(tmp_path):
     async def test():
         async with desk(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
             play, program.discovery.play = program.discovery.play, close_it
             await program.line("discovery_lost")
             idle = [await program.connect() for _ in range(64)]
-            await asyncio.sleep(0.35)  # as long as a new connection may be a usual client's
+            await asyncio.sleep(0.35)  # until the connections are no longer exempt as new ones
             idle += [await program.connect() for _ in range(10)]
-            for asked in (message("GET /health/ready HTTP/1.1", Host="h"), chat()):
-                while (await program.ask(asked))[0].split()[1] != "200":  # till idle ones are seen to be
+            for request in (message("GET /health/ready HTTP/1.1", Host="h"), chat()):
+                while (await program.ask(request))[0].split()[1] != "200":  # until the idle ones are found
                     await asyncio.sleep(0.05)
             program.discovery.play = play
             drained = {**program.entries[0], "status": "Terminating"}
@@ -726,7 +742,7 @@
     run(test())
 
 
-def test_sighup_never_ends_the_program_also_while_it_stops(tmp_path):
+def test_sighup_never_ends_the_program_even_during_shutdown(tmp_path):
     async def test():
         async with desk(tmp_path, write=hang) as program:
             reader, writer = await program.connect()
@@ -737,8 +753,9 @@
             program.reload()
             await program.line("reloaded")
             assert (await within(read_message(reader)))[0].split()[1] == "503"
-            while program.process.returncode is None:  # up to the very end
-                with suppress(ProcessLookupError):  # its own send_signal takes the end from who waits
+            while program.process.returncode is None:  # until it has ended
+                # Process.send_signal would reap the process before wait() does.
+                with suppress(ProcessLookupError):
                     os.kill(program.process.pid, signal.SIGHUP)
                 await asyncio.sleep(0)
                 with suppress(TimeoutError):
@@ -752,29 +769,29 @@
     writer.close()
 
 
-def test_bodies_are_refused_before_they_take_the_memory(tmp_path):
+def test_bodies_are_refused_before_they_exceed_the_memory_limit(tmp_path):
     async def test():
         limits = {"memory_mb": 96, "sockets": 1024}
         async with desk(tmp_path, read=hang, limits=limits) as program:
             body = b'{"a":"' + b"x" * 262000 + b'"}'
-            asked = [chat(id=f"r{n}", left=3000, body=body) for n in range(120)]
-            answers = await asyncio.gather(*map(program.ask, asked))
+            requests = [chat(id=f"r{n}", left=3000, body=body) for n in range(120)]
+            answers = await asyncio.gather(*map(program.ask, requests))
             assert {first.split()[1] for first, _, _ in answers} == {"503"}
             assert sum(body == b"too much at once\n" for _, _, body in answers) >= 120 - 48
             with open(f"/proc/{program.process.pid}/status") as status:
                 peak = next(int(line.split()[1]) for line in status if line.startswith("VmHWM"))
-            assert peak < 96 * 1024, "kilobytes, at the most that it ever held"
+            assert peak < 96 * 1024, "KiB, peak resident set size"
             assert await program.stop() == 0
 
     run(test())
 
 
-def test_a_read_on_a_silent_connection_goes_elsewhere_once_the_endpoint_tells_that_nothing_waits(tmp_path):
-    lost = []
+def test_a_read_on_a_silent_connection_is_retried_once_the_endpoint_reports_no_backlog(tmp_path):
+    lost_ports = []
 
-    async def first_is_lost(call, writer):
-        if call[0].startswith("POST /v1/chat") and not lost:
-            lost.append(writer.get_extra_info("sockname")[1])
+    async def lose_first_read(call, writer):
+        if call[0].startswith("POST /v1/chat") and not lost_ports:
+            lost_ports.append(writer.get_extra_info("sockname")[1])
             await hang(call, writer)
         elif call[0].startswith("GET /stats"):
             writer.write(message("HTTP/1.1 200 OK", b"latency_ms=12.5,x0=0.1,x1=0"))
@@ -782,47 +799,59 @@
             await read_it(call, writer)
 
     async def test():
-        told = {"report_x0": "share of memory that is held", "report_x1": "thousands of prompt tokens"}
+        report_columns = {
+            "report_x0": "share of memory that is held",
+            "report_x1": "thousands of prompt tokens",
+        }
         settings = {
             **SETTINGS,
             "allowed": {**SETTINGS["allowed"], "probes": True},
             "reporting": {"how": "piggyback", "columns": ["latency_ms", "x0", "x1"]},
-            "family_info": {**SETTINGS["family_info"], **told},
+            "family_info": {**SETTINGS["family_info"], **report_columns},
         }
-        async with desk(tmp_path, first_is_lost, settings=settings) as program, Server(first_is_lost) as r2:
+        async with (
+            desk(tmp_path, lose_first_read, settings=settings) as program,
+            Server(lose_first_read) as r2,
+        ):
             await program.discovery.tell([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
                 pass
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             assert (await program.ask(chat()))[0].split()[1] == "200"
-            assert asyncio.get_running_loop().time() - begun < 1.8, "before the time of one that is jammed"
-            silent, other = sorted((program.reader, r2), key=lambda r: not r.address.endswith(str(lost[0])))
+            assert asyncio.get_running_loop().time() - started_at < 1.8, (
+                "faster than for an overloaded endpoint"
+            )
+            silent, other = sorted(
+                (program.reader, r2), key=lambda r: not r.address.endswith(str(lost_ports[0]))
+            )
             assert len(silent.named("GET /stats")) >= 2 and not silent.named("GET /health")
             assert len(silent.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
 
     run(test())
 
 
-def test_a_silent_endpoint_that_answers_no_probe_is_left_and_its_read_goes_elsewhere(tmp_path):
-    mute = []
+def test_the_read_of_an_endpoint_that_answers_no_probe_is_retried_elsewhere(tmp_path):
+    hanging_ports = []
 
-    async def first_is_cut_off(call, writer):
+    async def hang_first_endpoint(call, writer):
         port = writer.get_extra_info("sockname")[1]
-        if call[0].startswith("POST /v1/chat") and not mute:
-            mute.append(port)
-        await (hang if port in mute else read_it)(call, writer)
+        if call[0].startswith("POST /v1/chat") and not hanging_ports:
+            hanging_ports.append(port)
+        await (hang if port in hanging_ports else read_it)(call, writer)
 
     async def test():
         settings = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probes": True}}
         async with (
-            desk(tmp_path, first_is_cut_off, settings=settings) as program,
-            Server(first_is_cut_off) as r2,
+            desk(tmp_path, hang_first_endpoint, settings=settings) as program,
+            Server(hang_first_endpoint) as r2,
         ):
             await program.discovery.tell([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
                 pass
             assert (await program.ask(chat()))[0].split()[1] == "200"
-            cut_off, other = sorted((program.reader, r2), key=lambda r: not r.address.endswith(str(mute[0])))
+            cut_off, other = sorted(
+                (program.reader, r2), key=lambda r: not r.address.endswith(str(hanging_ports[0]))
+            )
             assert cut_off.named("GET /health/live") and not other.named("GET /health/live")
             assert len(cut_off.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
@@ -830,7 +859,7 @@
     run(test())
 
 
-def test_a_fleet_of_1100_conductors_and_1100_endpoints_is_taken_in_within_the_limits(tmp_path):
+def test_a_fleet_of_1100_conductors_and_1100_endpoints_fits_within_the_limits(tmp_path):
     def status(program, key):
         lines = Path(f"/proc/{program.process.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith(key))
