--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -18,7 +18,7 @@
 from hoplane import config as configuration
 from hoplane import log
 from hoplane.config import Config, ConfigError, Unreadable
-from hoplane.core.events import Reloaded
+from hoplane.core.events import SettingsReloaded
 from hoplane.core.pacing import Pacing
 from hoplane.core.transient import EXHAUSTED
 from hoplane.decision.interface import State
@@ -118,7 +118,7 @@
                 raise ConfigError(f"known: {error}") from None
         return platform.Platform(config, runtime), watch
 
-    def beside(self) -> tuple[kserve.KServe, xds.Files]:
+    def create_kserve(self) -> tuple[kserve.KServe, xds.Files]:
         """Create the v2 front and its files, which must be valid at startup."""
         # Local imports, as the platform's conductor should not load them: loading is half of a startup.
         from hoplane import xds
@@ -144,7 +144,7 @@
         except ConfigError as error:
             log.write_event("reload_failed", error=str(error))
             for runtime in self.front.runtimes:
-                runtime.feed(Reloaded(None))
+                runtime.feed(SettingsReloaded(None))
             return
         self.read_failures = 0
         self.watch, self.watch_task = watch, asyncio.create_task(watch.watch())
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -75,7 +75,7 @@
                     continue
                 if not began:
                     began = True
-                    self.feed(ev.Began(effect.id, effect.attempt))
+                    self.feed(ev.ResponseStarted(effect.id, effect.attempt))
                     await sink.start()
                 tail = (tail + data)[-TAIL_BYTES:]
                 await sink.write(data)
@@ -109,7 +109,7 @@
             return Status.ERROR, b""
         if not sink.is_complete(data):
             return Status.RESET, b""
-        self.feed(ev.Began(effect.id, effect.attempt))
+        self.feed(ev.ResponseStarted(effect.id, effect.attempt))
         await sink.start()
         await sink.write(data)
         await sink.finish()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hoplane.core.events import Endpoint, Listed
+from hoplane.core.events import Endpoint, EndpointsUpdated
 from hoplane.core.handover import Peer, judge
 from hoplane.decision.interface import State
 from hoplane.net.handover import read_peer
@@ -17,8 +17,8 @@
 DURATIONS = st.integers(0, 100_000).map(lambda ms: timedelta(milliseconds=ms))
 
 
-def make_update(started, whole=True):
-    return Listed((Endpoint("w1", "a:1", "z", "decode", 0, State.LIVE, 1.0, started),), whole)
+def make_update(started, complete=True):
+    return EndpointsUpdated((Endpoint("w1", "a:1", "z", "decode", 0, State.LIVE, 1.0, started),), complete)
 
 
 @given(CLOCK_STEPS, CLOCK_STEPS, DURATIONS, DURATIONS)
