--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -17,7 +17,7 @@
 
 from hoplane import config as configuration
 from hoplane import log
-from hoplane.config import Config, ConfigError, Unreadable
+from hoplane.config import Config, ConfigError, TransientReadError
 from hoplane.core.events import SettingsReloaded
 from hoplane.core.pacing import Pacing
 from hoplane.core.transient import EXHAUSTED
@@ -64,9 +64,9 @@
         """Return the tasks that this process runs for the fleet, outside the request path."""
         parts = []
         if self.config.lease:
-            from hoplane.lease.watchman import Watchman
+            from hoplane.lease.health_check_task import HealthCheckTask
 
-            parts.append(Watchman(self.config, self.endpoints))
+            parts.append(HealthCheckTask(self.config, self.endpoints))
         if self.config.shared:
             from hoplane.shared.member import Member
 
@@ -118,15 +118,15 @@
                 raise ConfigError(f"known: {error}") from None
         return platform.Platform(config, runtime), watch
 
-    def create_kserve(self) -> tuple[kserve.KServe, xds.Files]:
+    def create_kserve(self) -> tuple[kserve.KServe, xds.FileWatch]:
         """Create the v2 front and its files, which must be valid at startup."""
         # Local imports, as the platform's conductor should not load them: loading is half of a startup.
         from hoplane import xds
         from hoplane.fronts import kserve
 
         front = kserve.KServe(self.config, self.pool)
-        watch = xds.Files(*self.config.files, front.feed)
-        if problem := watch.look():
+        watch = xds.FileWatch(*self.config.files, front.feed)
+        if problem := watch.poll():
             raise ConfigError(problem)
         return front, watch
 
@@ -138,7 +138,7 @@
         try:
             new = self.load_config(self.config)
             watch = self.watch.moved(new)
-        except Unreadable as error:
+        except TransientReadError as error:
             self.reload_later(error)
             return
         except ConfigError as error:
@@ -152,17 +152,17 @@
         self.pool.max_sockets = new.limits.upstreams
         self.pool.set_discovery(new.discovery)
         self.front.retune(new.settings)
-        known = (*configuration.RELOADED, *configuration.IGNORED)
+        known = (*configuration.RELOADABLE_FIELDS, *configuration.IGNORED_FIELDS)
         needs_restart = [
             name
             for name in (field.name for field in fields(new))
             if name not in known and getattr(self.config, name) != getattr(new, name)
         ]
-        reloaded = {name: getattr(new, name) for name in configuration.RELOADED}
-        self.config = replace(self.config, told=new.told, **reloaded)
+        reloaded = {name: getattr(new, name) for name in configuration.RELOADABLE_FIELDS}
+        self.config = replace(self.config, raw=new.raw, **reloaded)
         log.write_event("reloaded", watch=str(watch), at_next_start=needs_restart)
 
-    def reload_later(self, error: Unreadable) -> None:
+    def reload_later(self, error: TransientReadError) -> None:
         """Reload the configuration a moment later, as the SIGHUP still has to be handled."""
         self.read_failures += 1
         log.write_event_limited("reload_unread", error=str(error), tries=self.read_failures)
@@ -210,7 +210,7 @@
             part.start()
         await stop.wait()
         for part in self.fleet_parts:
-            await part.leave()
+            await part.begin_shutdown()
         log.write_event("stopping", open=self.front.server.open_requests)
         await self.front.server.stop()
         if self.operator:
@@ -239,7 +239,7 @@
         signals.pending_reloads.clear()  # the file read next is newer
         try:
             return configuration.load(os.environ, file)
-        except Unreadable:
+        except TransientReadError:
             time.sleep(REREAD_DELAY.total_seconds())
     return configuration.load(os.environ, file)
 
@@ -258,7 +258,7 @@
 
 def main(arguments: list[str]) -> int:
     """Read the configuration and serve."""
-    logging.basicConfig(level=logging.WARNING, handlers=[log.Lines()])
+    logging.basicConfig(level=logging.WARNING, handlers=[log.LibraryHandler()])
     parser = argparse.ArgumentParser(prog="hoplane", description="One conductor.")
     parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
     file = parser.parse_args(arguments).file
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from hoplane import log
-from hoplane.config import BODY_MOST, Config, Limits
+from hoplane.config import MAX_BODY_BYTES, Config, Limits
 from hoplane.core import permits
 from hoplane.core.permits import Denial, Phase
 from hoplane.core.transient import EXHAUSTED
@@ -77,7 +77,7 @@
     def push(self, data: bytes) -> bytes:
         """Take a piece of the stream and return the complete events that may be sent now."""
         self.received += len(data)
-        if self.received > BODY_MOST:
+        if self.received > MAX_BODY_BYTES:
             raise ValueError("the stream exceeds 256 KiB")
         data = self.partial_event + data
         end = max(
@@ -164,7 +164,11 @@
         self.drain_task: asyncio.Task | None = None
         self.open_requests = 0
         self.http_server = HttpServer(
-            self.handle, error_response, config.limits.clients, config.limits.turned_away, BODY_MOST
+            self.handle,
+            error_response,
+            config.limits.clients,
+            config.limits.rejected_connections,
+            MAX_BODY_BYTES,
         )
         self.http_server.send_retry_after = config.settings.retry_after
         self.listener: Listener | None = None
@@ -258,13 +262,13 @@
     def body_size(request: web.BaseRequest) -> int:
         """Return how much memory a body may take; one of unknown length may take the maximum."""
         if request.content_length is None:
-            return BODY_MOST if request.can_read_body else 0
-        return min(request.content_length, BODY_MOST)
+            return MAX_BODY_BYTES if request.can_read_body else 0
+        return min(request.content_length, MAX_BODY_BYTES)
 
     async def read(self, request: web.BaseRequest) -> bytes | web.Response:
         """Read a body within the limits, or return the error that refuses it."""
         body_size = request.content_length
-        if body_size is not None and body_size > BODY_MOST:
+        if body_size is not None and body_size > MAX_BODY_BYTES:
             return error_response(413, "the body is over 256 KiB", close=True)
         if request.headers.get("Expect", "").lower() == "100-continue":
             await request.writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
