--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -53,7 +53,7 @@
         self.watch_task = asyncio.create_task(self.watch.watch())
         server = self.front.server
         self.operator = config.operator and Operator(
-            config.operator, self.not_ready_reason, self.figures, server.start_drain, server.cancel_drain
+            config.operator, self.not_ready_reason, self.statistics, server.start_drain, server.cancel_drain
         )
         shared = config.inherited is not None and config.scratch is not None
         self.fleet_parts = self.make_fleet_parts()
@@ -88,20 +88,20 @@
             "stopping" if server.stopping else "draining" if server.draining_since is not None else "starting"
         )
 
-    def figures(self) -> dict[str, object]:
+    def statistics(self) -> dict[str, object]:
         """Return the statistics of this process's conductors, summed if there are several."""
-        figures: dict = {"transactions": {}, "current": 0, "cluster_size": 0, "cluster_unhealthy": 0}
+        statistics: dict = {"transactions": {}, "current": 0, "cluster_size": 0, "cluster_unhealthy": 0}
         for runtime in self.front.runtimes:
-            each = runtime.figures()
+            each = runtime.statistics()
             for cls, counts in each.pop("transactions").items():
-                total = figures["transactions"].setdefault(cls, dict.fromkeys(counts, 0))
+                total = statistics["transactions"].setdefault(cls, dict.fromkeys(counts, 0))
                 for name, value in counts.items():
                     total[name] += value
             for name, value in each.items():
                 # A file is read once for all models, so its counts are the same for each.
                 combine = max if name.startswith("conf_") else int.__add__
-                figures[name] = combine(figures.get(name, 0), value)
-        return figures
+                statistics[name] = combine(statistics.get(name, 0), value)
+        return statistics
 
     def create_platform(self) -> tuple[platform.Platform, Discovery]:
         """Create the platform's front and its discovery."""
@@ -216,7 +216,7 @@
         if self.operator:
             self.operator.stop()
         for runtime in self.front.runtimes:
-            await runtime.rest()
+            await runtime.wait_idle()
         for part in self.fleet_parts:
             await part.stop()
         for task in background_tasks:
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -1,4 +1,4 @@
-"""Releases what endpoints hold for a request: calls them one after the other until one has taken it."""
+"""Releases a request's reservations by calling one endpoint after the other until one accepts."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Pool
 
-HELD_EXTRA = timedelta(milliseconds=300)  # what is held has so much more than the settings say
+# Beyond the release time in the settings, before it counts as a violation.
+HELD_TOLERANCE = timedelta(milliseconds=300)
 
 
 class Releases:
-    """Makes the releases of one conductor. `path` gives the path of a request's release, None for none."""
+    """Makes the release calls of one conductor; `path` returns a request's release path, or None."""
 
     def __init__(
         self,
@@ -33,59 +34,63 @@
         self.pool, self.state, self.clock, self.path, self.report = pool, state, clock, path, report
         self.loop = asyncio.get_running_loop()
 
-    def released(self, effect: Release, asked: int) -> None:
-        """Tell of a release that was taken later than the settings want."""
+    def report_late(self, effect: Release, calls_made: int) -> None:
+        """Report a release that was accepted later than the settings allow."""
         limit = self.state.settings.release_within
         if (
             effect.held_since is not None
             and limit
             and (held := to_ns(self.clock.now() - effect.held_since)) > limit
         ):
-            log.write_event_limited("release_late", request=effect.id, held_ms=held // 1_000_000, asked=asked)
-            if held > limit + to_ns(HELD_EXTRA):
+            log.write_event_limited(
+                "release_late", request=effect.id, held_ms=held // 1_000_000, asked=calls_made
+            )
+            if held > limit + to_ns(HELD_TOLERANCE):
                 self.report(Violation.HELD_TOO_LONG, effect.id)
 
     async def release(self, effect: Release) -> None:
-        """Release what is held, and again for a read that was cut off, while nothing else is out for it."""
+        """Release, and repeat it for a read that was cut off while the request has no other work."""
         await self.release_once(effect)
         for pause in releasing.REPEATS if effect.repeat else ():
             await asyncio.sleep(pause.total_seconds())
-            if effect.id in self.state.requests:  # it goes on elsewhere: its end releases all
+            # The request continues elsewhere, and its end releases everything.
+            if effect.id in self.state.requests:
                 return
             await self.release_once(replace(effect, held_since=None))
 
     async def release_once(self, effect: Release) -> None:
-        """Call endpoint after endpoint until one has taken the release, or an answer has begun.
+        """Call endpoint after endpoint until one has accepted the release or a response has started.
 
-        Guards against a release that ends unheard while something is held: what fails at once is no reason to
-        end, and no endpoint has to be the one that answers."""
+        A release must not end without a response while something is reserved: an immediate failure is no
+        reason to stop, and no particular endpoint has to respond.
+        """
         path = self.path(effect.id)
         if path is None:
             return
         await asyncio.sleep(effect.delay.total_seconds())
-        begun, failures, asked = self.loop.time(), 0, 0
+        started_at, failures, calls_made = self.loop.time(), 0, 0
         calls: set[asyncio.Task] = set()
         listed = list(self.state.fleet.values())
         try:
             for endpoint in releasing.order(effect.id, effect.endpoints, listed, self.state.settings.zone):
                 call = self.pool.call("DELETE", endpoint.address, path, releasing.PATIENCE)
                 calls.add(self.loop.create_task(call))
-                asked += 1
-                # Guards against a cut-off machine: the next is asked while the last may still answer.
+                calls_made += 1
+                # An endpoint may be unreachable, so the next one is called while this one may still respond.
                 done, calls = await asyncio.wait(
                     calls, timeout=releasing.TRY.total_seconds(), return_when=asyncio.FIRST_COMPLETED
                 )
                 if any(task.result() == 204 for task in done):
-                    self.released(effect, asked)
+                    self.report_late(effect, calls_made)
                     return
                 failures = failures + 1 if done else 0
                 if done:
                     await asyncio.sleep(releasing.pause(failures).total_seconds())
                 if self.state.began(effect.id):
                     return
-                if self.loop.time() - begun > releasing.MOST.total_seconds():
+                if self.loop.time() - started_at > releasing.MOST.total_seconds():
                     break
-            log.write_event_limited("release_unheard", request=effect.id, asked=asked)
+            log.write_event_limited("release_unheard", request=effect.id, asked=calls_made)
         finally:
             for task in calls:
                 task.cancel()
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -66,7 +66,7 @@
         turns.fits = lambda server: self.cold_quota(runtime, server).may_spend(self.now())
         turns.book = lambda server: self.reserve_send(runtime, server)
         runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
-        runtime.heed = self.record_outcome
+        runtime.record_outcome = self.record_outcome
 
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
         """Return the quota of a cold endpoint's budget, which is created on first use."""
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -98,7 +98,7 @@
         runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
         yield runtime, reader, writer, up, answered
         runtime.feed(ClientDisconnected("q"))
-        await within(runtime.rest())
+        await within(runtime.wait_idle())
         await runtime.pool.close()
 
 
@@ -135,7 +135,7 @@
             runtime.feed(ClientDisconnected("q"))
             await within(reader.closed.get())
             up.set()
-            await within(runtime.rest())
+            await within(runtime.wait_idle())
             assert not writer.named("POST") and not runtime.state.requests
 
     asyncio.run(test())
@@ -333,7 +333,7 @@
             runtime.pool.request = fails
             forward = Forward("q", 7, endpoint, timedelta(seconds=4), is_read=True)
             runtime.gates["q", 7] = SendGate()
-            ended = await runtime.play(forward, runtime.exchanges["q"])
+            ended = await runtime.run_attempt(forward, runtime.exchanges["q"])
             del runtime.pool.request
             assert (ended.status, ended.detail) == (Status.CONNECT_FAILED, note)
 
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""The runtime in this process, for what the real program meets too seldom to be tested from outside."""
+"""Tests of the runtime in this process, for situations that are too rare in the real program."""
 
 import asyncio
 import json
@@ -44,7 +44,7 @@
             runtime.exchanges["q"] = None
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             runtime.feed(ClientDisconnected("q"))
-            await within(runtime.rest())
+            await within(runtime.wait_idle())
             await reader.wait_for("DELETE /v1/holds/q")
             assert not runtime.state.requests and not reader.named("POST")
             await runtime.pool.close()
@@ -69,7 +69,7 @@
             }
             assert fits(None) and not any(each.errors for each in runtime.state.router.servers.values())
             runtime.feed(ClientDisconnected("q"))
-            await within(runtime.rest())
+            await within(runtime.wait_idle())
             assert not reader.named("POST") and not writer.named("POST")
             await runtime.pool.close()
 
@@ -126,7 +126,7 @@
             second = timedelta(seconds=5)
             info = (socket.AF_INET, socket.SOCK_STREAM, 0, "", ("127.0.0.1", 9))
             closed = [pool.open_socket(info) for _ in range(pool.max_sockets)]
-            for made in closed:  # still referred to, as by the cycles that only the garbage collector ends
+            for made in closed:  # still referenced, as by cycles that only the garbage collector frees
                 made.close()
             assert await pool.call("DELETE", reader.address, "/v1/holds/a", second) == 204
             await pool.close()
@@ -135,7 +135,7 @@
 
 
 def test_silence_casts_doubt_on_the_connections_kept_from_before(monkeypatch):
-    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # those kept are used again at once
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # idle connections are reused at once
 
     async def mute(call, writer):
         if call[0].startswith("POST"):
@@ -162,14 +162,14 @@
             await within(told.wait())
             assert pool.connector.close_idle(reader.address) == 0, "none is left to wait on in vain"
             assert pool.connector.close_idle(writer.address) == 3
-            await within(runtime.rest())
+            await within(runtime.wait_idle())
             await pool.close()
 
     asyncio.run(within(test(), 60))
 
 
 def test_kept_connections_that_break_are_told_as_such_and_then_none_is_kept(monkeypatch):
-    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # those kept are used again at once
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # idle connections are reused at once
 
     broken = asyncio.Event()
 
@@ -199,7 +199,7 @@
             )
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             await within(told.wait())
-            await within(runtime.rest())
+            await within(runtime.wait_idle())
             ends = [(each.status, each.detail) for each in ended if isinstance(each, AttemptEnded)]
             assert ends[0] == (Status.RESET, SERVER_NOT_AT_FAULT) and (Status.RESET, 0) in ends, (
                 "the next were new ones"
@@ -218,7 +218,7 @@
             await asyncio.Event().wait()
         await let_go(call, writer)
         if call[0].startswith("GET"):
-            writer.close()  # right behind the answer, as what is idle is closed
+            writer.close()  # right after the response, like an idle timeout
 
     async def test():
         async with Server(answers) as reader, Server(let_go) as writer:
@@ -230,7 +230,7 @@
 
             assert await calls("DELETE") == [204] * 4
             assert await calls("GET") == [204] * 4, "on the connections kept from before"
-            while await calls("DELETE") != [204] * 4:  # some may meet a close on its way
+            while await calls("DELETE") != [204] * 4:  # some may meet a close that is on its way
                 pass
             kept = pool.connector.stale_times.copy()
             mute.set()
