--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -154,8 +154,8 @@
 class Exchange:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
-        self.asked, self.body, self.path = asked, body, request_target(request)
+    def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
+        self.received, self.body, self.path = received, body, request_target(request)
         self.headers = {name: request.headers[name] for name in KEPT_HEADERS if name in request.headers}
         self.sink, self.caller = WholeSink(), request.protocol
 
@@ -175,7 +175,7 @@
         return read_head(status, headers)
 
     def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
-        return self.asked.prefix_tokens, {}  # v2 endpoints do not tell what they found kept
+        return self.received.prefix_tokens, {}  # v2 endpoints do not tell what they found kept
 
     def refuse(self, pause: timedelta | None) -> None:
         self.sink.settle(problem(503, "refused: try again later", pause))
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -173,8 +173,8 @@
 class Exchange:
     """One client's request on this front."""
 
-    def __init__(self, request: web.BaseRequest, asked: RequestReceived, body: bytes) -> None:
-        self.asked, self.body = asked, body
+    def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
+        self.received, self.body = received, body
         self.method, self.path = request.method, request_target(request)
         self.headers = {"Content-Type": "application/json"}
         self.headers.update({name: request.headers[name] for name in PASSED if name in request.headers})
@@ -191,7 +191,7 @@
         return self.sink.request.protocol.disconnected
 
     def call(self, forward: Forward) -> Call:
-        return Call(self.method, self.path, {**self.headers, ID: self.asked.id}, self.body)
+        return Call(self.method, self.path, {**self.headers, ID: self.received.id}, self.body)
 
     def time_headers(self, left: timedelta) -> Mapping[str, str]:
         return {LEFT_MS: str(max(1, left // timedelta(milliseconds=1)))}
--- a/hoplane/net/interface.py
+++ b/hoplane/net/interface.py
@@ -57,7 +57,7 @@
 class Exchange(Protocol):
     """A client's request, as held by its front."""
 
-    asked: RequestReceived
+    received: RequestReceived
     sink: Sink
 
     @property
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -21,7 +21,7 @@
 from hoplane.core.permits import Denial
 from hoplane.core.reducer import Conductor, steps
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
-from hoplane.decision.rules import Router
+from hoplane.decision.router import Router
 from hoplane.net.aiohttp_internals import MalformedResponseError, StaleConnectionError
 from hoplane.net.clock import Clock
 from hoplane.net.interface import Exchange
@@ -173,30 +173,30 @@
 
     async def serve(self, exchange: Exchange, final_answer: asyncio.Future):
         """Process a request and return its final answer; a client's disconnect ends it."""
-        asked = exchange.asked
-        deadline = self.clock.now() + asked.time_left
-        self.exchanges[asked.id] = exchange
-        self.invariants.taken(asked.id, deadline)
+        received = exchange.received
+        deadline = self.clock.now() + received.time_left
+        self.exchanges[received.id] = exchange
+        self.invariants.taken(received.id, deadline)
         overdue_timer = self.loop.call_at(
             self.clock.loop_time(deadline + OVERDUE_GRACE), self.answer_overdue, exchange
         )
         try:
-            self.feed(asked)
+            self.feed(received)
             response = await final_answer
-            self.log_violation(self.invariants.answered(asked.id, self.clock.now()), asked.id)
+            self.log_violation(self.invariants.answered(received.id, self.clock.now()), received.id)
             return response
         except asyncio.CancelledError:
-            self.invariants.left(asked.id)
-            self.feed(ev.ClientDisconnected(asked.id))
+            self.invariants.left(received.id)
+            self.feed(ev.ClientDisconnected(received.id))
             raise
         finally:
             overdue_timer.cancel()
-            del self.exchanges[asked.id]
-            self.log_violation(self.invariants.closed(asked.id), asked.id)
+            del self.exchanges[received.id]
+            self.log_violation(self.invariants.closed(received.id), received.id)
 
     def answer_overdue(self, exchange: Exchange) -> None:
         """Answer a request that is past its deadline without an answer, as some event was lost."""
-        id = exchange.asked.id
+        id = exchange.received.id
         request = self.state.requests.get(id)
         if request is not None and request.began:
             return
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -11,7 +11,7 @@
 import pytest
 from aiohttp import ClientConnectorError
 from standins import SETTINGS, Server, chat, entry, free_port, message, platform, within
-from test_runtime import let_go, start
+from test_runtime import accept_release, start_runtime
 
 from hoplane.core import release
 from hoplane.core.events import ClientDisconnected, Endpoint, Forward, Release, RequestReceived
@@ -40,9 +40,9 @@
 @pytest.mark.parametrize("want", ["refused", "no socket"])
 def test_a_release_that_fails_everywhere_for_a_moment_is_tried_again(want):
     async def test():
-        server, port = Server(let_go), free_port()
+        server, port = Server(accept_release), free_port()
         there = SimpleNamespace(address=f"127.0.0.1:{port}")
-        runtime, listener = start(there, there), None
+        runtime, listener = start_runtime(there, there), None
         max_sockets = runtime.pool.max_sockets
         if want == "no socket":
             runtime.pool.max_sockets = 0
@@ -63,7 +63,7 @@
 def test_a_release_ends_once_an_answer_has_begun_with_which_all_is_let_go_of():
     async def test():
         nobody = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
-        runtime = start(nobody, nobody)
+        runtime = start_runtime(nobody, nobody)
         runtime.state.began = lambda id: True
         await within(runtime.release(Release("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
@@ -74,8 +74,8 @@
 @asynccontextmanager
 async def late_connections(read, address_of):
     """A runtime with a request out, whose connections to one endpoint come up when the event is set."""
-    async with Server(read) as reader, Server(let_go) as writer:
-        runtime, up, answered = start(reader, writer), asyncio.Event(), asyncio.Event()
+    async with Server(read) as reader, Server(accept_release) as writer:
+        runtime, up, answered = start_runtime(reader, writer), asyncio.Event(), asyncio.Event()
         connect = runtime.pool.connector.connect
         held_up = {"reader": reader, "writer": writer}[address_of].address
 
@@ -103,7 +103,7 @@
 
 
 async def never_read(call, writer):
-    await (asyncio.Event().wait() if call[0].startswith("POST /v1/chat") else let_go(call, writer))
+    await (asyncio.Event().wait() if call[0].startswith("POST /v1/chat") else accept_release(call, writer))
 
 
 def drain(runtime, name):
@@ -241,7 +241,7 @@
     }
 
     async def test():
-        async with full_listener() as (listener, fillers), Server(let_go) as writer:
+        async with full_listener() as (listener, fillers), Server(accept_release) as writer:
             entries = [
                 entry("r1", "{}:{}".format(*listener.getsockname()), "prefill"),
                 entry("w1", writer.address, "decode"),
