--- a/tests/standins.py
+++ b/tests/standins.py
@@ -8,11 +8,11 @@
 import sys
 from contextlib import asynccontextmanager, suppress
 
-LIMIT = 20  # for any single wait in a test
+WAIT_LIMIT_S = 20  # for any single wait in a test
 
 
-def within(work, seconds=LIMIT):
-    return asyncio.wait_for(work, seconds)
+def within(awaitable, seconds=WAIT_LIMIT_S):
+    return asyncio.wait_for(awaitable, seconds)
 
 
 def free_port():
@@ -21,11 +21,11 @@
         return probe.getsockname()[1]
 
 
-async def read_message(reader, begun=lambda first: None):
+async def read_message(reader, on_start_line=lambda first: None):
     """Read one HTTP/1.1 message: start line, lower-case headers and body; None at the end."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-        begun(head[0])
+        on_start_line(head[0])
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     headers = {k.lower(): v.strip() for k, _, v in (line.partition(":") for line in head[1:] if line)}
@@ -55,26 +55,26 @@
 DONE = b"data: [DONE]\n\n: X-Backend-Load: latency_ms=3,x0=0.5\n\n"
 
 
-class Bell:
+class Notifier:
     """Wakes all waiters; it has no lock that a cancelled waiter could leave acquired."""
 
     def __init__(self):
         self.event = asyncio.Event()
 
-    def ring(self):
+    def notify_all(self):
         event, self.event = self.event, asyncio.Event()
         event.set()
 
-    async def until(self, true):
-        while not true():
+    async def wait_until(self, condition):
+        while not condition():
             await self.event.wait()
 
 
 class Server:
-    """Answers each call with `play(call, writer)` and records the calls."""
+    """Answers each call with `respond(call, writer)` and records the calls."""
 
-    def __init__(self, play):
-        self.play, self.calls, self.came, self.closed = play, [], Bell(), asyncio.Queue()
+    def __init__(self, respond):
+        self.respond, self.calls, self.call_received, self.closed = respond, [], Notifier(), asyncio.Queue()
 
     async def __aenter__(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -86,34 +86,34 @@
 
     async def serve(self, reader, writer):
         try:
-            while call := await read_message(reader, lambda first: self.begun(first, writer)):
+            while call := await read_message(reader, lambda first: self.on_request_head(first, writer)):
                 self.calls.append(call)
-                self.came.ring()
-                playing = asyncio.ensure_future(self.play(call, writer))
-                gone = asyncio.ensure_future(reader.read(1)) if not playing.done() else None
-                await asyncio.wait({playing, gone}, return_when=asyncio.FIRST_COMPLETED)
-                if gone is not None and gone.done():
-                    gone.exception()  # retrieve a possible reset, which ends the call like a close
-                if not playing.done():
-                    playing.cancel()
+                self.call_received.notify_all()
+                response_task = asyncio.ensure_future(self.respond(call, writer))
+                disconnect_task = asyncio.ensure_future(reader.read(1)) if not response_task.done() else None
+                await asyncio.wait({response_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED)
+                if disconnect_task is not None and disconnect_task.done():
+                    disconnect_task.exception()  # retrieve a possible reset, which ends the call like a close
+                if not response_task.done():
+                    response_task.cancel()
                     self.closed.put_nowait(call)
                     return
-                gone.cancel()
-                await asyncio.wait({gone})
+                disconnect_task.cancel()
+                await asyncio.wait({disconnect_task})
                 if writer.is_closing():
                     return
         finally:
             writer.close()
 
-    def begun(self, first, writer):
+    def on_request_head(self, first, writer):
         """Handle a complete head; a ConnectionError drops the connection."""
 
-    def named(self, start):
-        return [call for call in self.calls if call[0].startswith(start)]
+    def calls_to(self, prefix):
+        return [call for call in self.calls if call[0].startswith(prefix)]
 
-    async def wait_for(self, start, count=1):
-        await within(self.came.until(lambda: len(self.named(start)) >= count))
-        return self.named(start)
+    async def wait_for(self, prefix, count=1):
+        await within(self.call_received.wait_until(lambda: len(self.calls_to(prefix)) >= count))
+        return self.calls_to(prefix)
 
 
 class Discovery(Server):
@@ -121,22 +121,22 @@
 
     def __init__(self, entries):
         super().__init__(self.answer)
-        self.entries, self.index, self.changed = entries, 1, Bell()
+        self.entries, self.index, self.changed = entries, 1, Notifier()
 
     async def answer(self, call, writer):
         path = call[0].split()[1]
         since = int(path.partition("since=")[2].partition("&")[0] or 0)
-        wait = int(path.partition("timeout_ms=")[2] or 0) / 1000
+        hold_time = int(path.partition("timeout_ms=")[2] or 0) / 1000
         with suppress(TimeoutError):
-            await within(self.changed.until(lambda: self.index > since), wait)
+            await within(self.changed.wait_until(lambda: self.index > since), hold_time)
         body = {"index": self.index, "snapshot": since == 0, "endpoints": self.entries}
         if since == self.index:
             body["endpoints"] = []
         writer.write(message("HTTP/1.1 200 OK", json.dumps(body).encode()))
 
-    async def tell(self, entries):
+    async def publish(self, entries):
         self.entries, self.index = entries, self.index + 1
-        self.changed.ring()
+        self.changed.notify_all()
 
 
 def entry(name, address, kind, status="Ready"):
@@ -200,7 +200,7 @@
     def reload(self, text=None, **changes):
         """Rewrite the configuration file and send SIGHUP."""
         new = self.file.with_suffix(".new")
-        new.write_text(json.dumps({**self.told, **changes}) if text is None else text)
+        new.write_text(json.dumps({**self.config, **changes}) if text is None else text)
         new.rename(self.file)
         self.process.send_signal(signal.SIGHUP)
 
@@ -212,8 +212,8 @@
         """Stop the program and return the log lines that report internal faults."""
         assert await self.stop() == 0
         lines = [json.loads(line) for line in (await within(self.process.stderr.read())).splitlines()]
-        bad = ("library", "task_broke", "request_broke", "relay_broke", "loop_fault")
-        return [line for line in [*self.log, *lines] if line["event"] in bad]
+        fault_events = ("library", "task_broke", "request_broke", "relay_broke", "loop_fault")
+        return [line for line in [*self.log, *lines] if line["event"] in fault_events]
 
     async def connect(self):
         host, port = self.address.split(":")
@@ -231,10 +231,10 @@
 
 async def spawn(*arguments, pass_fds=(), first="", **environ):
     """Start the program; `first` is code to run in its process before it, for example to lengthen a delay."""
-    begin = ("-c", f"{first}\nimport sys; from hoplane import __main__ as it; sys.exit(it.start())")
+    command = ("-c", f"{first}\nimport sys; from hoplane import __main__ as it; sys.exit(it.start())")
     return await asyncio.create_subprocess_exec(
         sys.executable,
-        *(begin if first else ("-m", "hoplane")),
+        *(command if first else ("-m", "hoplane")),
         *arguments,
         pass_fds=pass_fds,
         env={**os.environ, **environ},
@@ -244,8 +244,8 @@
 
 
 @asynccontextmanager
-async def started(*arguments, address, **how):
-    process = await spawn(*arguments, **how)
+async def started(*arguments, address, **options):
+    process = await spawn(*arguments, **options)
     program = Program(process, address)
     try:
         await program.line("started")
@@ -261,7 +261,7 @@
     """Start the program as the platform does, with a discovery that lists the entries."""
     address = address or f"127.0.0.1:{free_port()}"
     async with Discovery(entries) as discovery:
-        told = {
+        config = {
             "name": "n1",
             "listen": address,
             "discovery": discovery.address,
@@ -272,10 +272,10 @@
             **changes,
         }
         file = tmp_path / "config.json"
-        file.write_text(json.dumps(told))
+        file.write_text(json.dumps(config))
         environ = {"EDGE_CONFIG": str(file), **(environ or {})}
         async with started(address=address, pass_fds=pass_fds, first=first, **environ) as program:
-            program.discovery, program.file, program.told = discovery, file, told
+            program.discovery, program.file, program.config = discovery, file, config
             yield program
 
 
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -8,7 +8,7 @@
 import pytest
 from standins import EVENT, STREAM, USAGE, Server, chat, chunk, entry, message, platform, read_message
 from test_kserve import ANSWER, assignment, infer, sidecar, status
-from test_platform import desk, hang, never_read, read_it, run, write_it
+from test_platform import complete_read, hang, never_complete_read, run, running_conductor, stream_response
 
 HEAD, _, BODY = chat().partition(b"\r\n\r\n")
 HEAD_WITHOUT_LENGTH = HEAD.replace(b"\r\nContent-Length: 15", b"")
@@ -90,12 +90,12 @@
         assert not got or got.split()[1][:1] in b"45", (name, got)
 
     await asyncio.gather(*(check_case(*each) for each in MALFORMED_REQUESTS.items()))
-    assert not any(server.named("POST") for server in servers), "no malformed request reached an endpoint"
+    assert not any(server.calls_to("POST") for server in servers), "no malformed request reached an endpoint"
 
 
 def test_malformed_requests_end_within_three_seconds_and_reach_no_endpoint(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             await assert_all_rejected(program, b"/v1/chat/completions", [program.reader, program.writer])
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
@@ -115,13 +115,13 @@
 
 def test_input_after_a_malformed_request_is_discarded(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             for name in ("both lengths", "both lengths, reversed", "noise", "a length too short"):
                 got = await send_until_closed(
                     program, chat(id="before") + MALFORMED_REQUESTS[name] + chat(id="behind")
                 )
                 assert got.count(b" 400 Bad") == 1 and got.count(b" 200 OK") <= 1, (name, got)
-            calls = program.reader.named("POST") + program.writer.named("POST")
+            calls = program.reader.calls_to("POST") + program.writer.calls_to("POST")
             assert {call[1].get("x-correlation-id", "before") for call in calls} <= {"before"}
 
     run(test())
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("framing", [b"Content-Length: 60000000", b"Transfer-Encoding: chunked"])
 def test_a_sixty_megabyte_body_is_refused_even_if_the_client_reads_only_after_sending(tmp_path, framing):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             started_at = time.monotonic()
             reader, writer = await program.connect()
             writer.write(with_head(framing, b""))
@@ -153,15 +153,15 @@
     async def write_after_resume(call, writer):
         if call[0].startswith("POST /v1/chat"):
             await resume.wait()
-        await write_it(call, writer)
+        await stream_response(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=write_after_resume) as program:
+        async with running_conductor(tmp_path, write=write_after_resume) as program:
             first = asyncio.ensure_future(program.ask(chat(id="duplicate")))
             await program.writer.wait_for("POST /v1/chat")
             assert (await program.ask(chat(id="duplicate")))[0].split()[1] == "409"
             resume.set()
-            assert (await first)[0].split()[1] == "200" and len(program.writer.named("POST /v1/chat")) == 1
+            assert (await first)[0].split()[1] == "200" and len(program.writer.calls_to("POST /v1/chat")) == 1
 
     run(test())
 
@@ -171,13 +171,13 @@
     if call[0].startswith("POST /v1/holds"):
         writer.write(message("HTTP/1.1 200 OK"))
     else:
-        await write_it(call, writer)
+        await stream_response(call, writer)
 
 
 def test_a_flood_of_silent_connections_does_not_block_usual_clients(tmp_path):
     async def test():
         limits = {"memory_mb": 96, "sockets": 256}
-        async with desk(tmp_path, write=accept_reservations, limits=limits) as program:
+        async with running_conductor(tmp_path, write=accept_reservations, limits=limits) as program:
             # Each connection ends within 3 s.
             flood = asyncio.gather(*(send_until_closed(program, b"") for _ in range(400)))
             for number in [*range(30), "after"]:
@@ -217,16 +217,16 @@
 def malformed_writer(data, then=b"", resume=None):
     """Return a writer whose stream is these bytes, on a connection that stays open."""
 
-    async def play(call, writer):
+    async def send_malformed(call, writer):
         if not call[0].startswith("POST /v1/chat"):
-            return await write_it(call, writer)
+            return await stream_response(call, writer)
         writer.write(data)
         if then:
             await resume.wait()
             writer.write(then)
         return await hang(call, writer)
 
-    return play
+    return send_malformed
 
 
 class ResettingServer(Server):
@@ -234,7 +234,7 @@
 
     resets_left = 1
 
-    def begun(self, first, writer):
+    def on_request_head(self, first, writer):
         if self.resets_left and ("/chat" in first or "/infer" in first):
             self.resets_left -= 1
             wipe = struct.pack("ii", 1, 0)
@@ -248,11 +248,11 @@
     longer_delay = "from hoplane.net import pool; pool.LAST_BYTE_DELAY *= 100"
 
     async def test():
-        async with Server(read_it) as reader, ResettingServer(write_it) as writer:
+        async with Server(complete_read) as reader, ResettingServer(stream_response) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=longer_delay) as program:
                 assert (await program.ask(chat(cls="booking")))[0].split()[1] == "200"
-                (call,) = writer.named("POST /v1/chat")
+                (call,) = writer.calls_to("POST /v1/chat")
                 assert not writer.resets_left and call[2] == BODY and call[1]["content-length"] == "15"
         (tmp_path / "v2").mkdir()
         async with (
@@ -268,12 +268,15 @@
 def test_a_malformed_response_start_counts_as_possibly_run(tmp_path):
     async def check_case(folder, name, data):
         folder.mkdir()
-        async with Server(write_it) as second, desk(folder, write=malformed_writer(data)) as program:
+        async with (
+            Server(stream_response) as second,
+            running_conductor(folder, write=malformed_writer(data)) as program,
+        ):
             booked = await program.ask(chat(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
-            assert len(program.writer.named("POST /v1/chat")) == 1, "it may have run"
+            assert len(program.writer.calls_to("POST /v1/chat")) == 1, "it may have run"
             assert await program.writer.closed.get(), "its connection is not reused"
-            await program.discovery.tell([*program.entries, entry("w2", second.address, "decode")])
+            await program.discovery.publish([*program.entries, entry("w2", second.address, "decode")])
             while (await program.line("endpoints"))["known"] != 3:
                 pass
             for number in range(4):  # safe requests are retried at the other writer if they meet the bad one
@@ -291,7 +294,9 @@
     async def check_case(folder, name, data):
         folder.mkdir()
         resume = asyncio.Event()
-        async with desk(folder, write=malformed_writer(STREAM + chunk(EVENT), data, resume)) as program:
+        async with running_conductor(
+            folder, write=malformed_writer(STREAM + chunk(EVENT), data, resume)
+        ) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             got = await reader.readuntil(EVENT)
@@ -320,7 +325,7 @@
 
     async def interim_and_trailing_data(call, writer):
         if not call[0].startswith("POST /v1/chat"):
-            return await write_it(call, writer)
+            return await stream_response(call, writer)
         ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         bad = STREAM[:-2] + b"X-Backend-Load: =,nan=nan,\xff=1,inflight=many\r\n\r\n"
         writer.write(ahead)
@@ -333,7 +338,7 @@
         return None
 
     async def test():
-        async with desk(tmp_path, write=interim_and_trailing_data) as program:
+        async with running_conductor(tmp_path, write=interim_and_trailing_data) as program:
             for number in range(5):
                 first, _, body = await program.ask(chat(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
@@ -343,12 +348,12 @@
 
 def test_malformed_responses_on_the_v2_front_count_as_possibly_run(tmp_path):
     async def check_case(folder, name, data):
-        async def play(call, writer):
+        async def send_malformed(call, writer):
             writer.write(data)
             await hang(call, writer)
 
         folder.mkdir()
-        async with Server(play) as bad, Server(answer_v2) as good, sidecar(folder, bad) as program:
+        async with Server(send_malformed) as bad, Server(answer_v2) as good, sidecar(folder, bad) as program:
             assert await status(program, infer(time_left_ms=2000)) == 502, name
             assert await status(program, infer(time_left_ms=2000)) == 409, name
             assert len(bad.calls) == 1 and await bad.closed.get()
@@ -367,8 +372,8 @@
 
 def test_a_malformed_reader_response_does_not_crash_the_conductor(tmp_path):
     async def test():
-        async with desk(tmp_path, read=never_read) as program:
-            program.reader.play = malformed_writer(b"\x80\x81\r\n\r\n")
+        async with running_conductor(tmp_path, read=never_complete_read) as program:
+            program.reader.respond = malformed_writer(b"\x80\x81\r\n\r\n")
             assert (await program.ask(chat(left=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -9,7 +9,7 @@
 import pytest
 from click.testing import CliRunner
 from standins import Server, chat, entry, message, platform, within
-from test_platform import read_it, write_it
+from test_platform import complete_read, stream_response
 
 from hoplane.lab import faults
 from hoplane.lab.__main__ import lab
@@ -17,7 +17,7 @@
 
 
 @asynccontextmanager
-async def partitioned(tmp_path, read=read_it, write=write_it, **how):
+async def partitioned(tmp_path, read=complete_read, write=stream_response, **how):
     """Give the program with a path to each endpoint that can be cut, both warmed up by one request."""
     async with (
         Server(read) as reader,
@@ -92,7 +92,7 @@
                 writer.write(b"no head at all\r\n\r\n")
                 writer.close()
                 return
-            await read_it(call, writer)
+            await complete_read(call, writer)
 
         first = (
             "from hoplane import conductor as it\nimport os\nwrite = it.log.write_event\n"
@@ -100,7 +100,7 @@
             '    event == "started" and os.dup2(os.open("/dev/full", os.O_WRONLY), 2)\n'
             "it.log.write_event = last\n"
         )
-        async with Server(read) as reader, Server(write_it) as writer, Server(read_it) as other:
+        async with Server(read) as reader, Server(stream_response) as writer, Server(complete_read) as other:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=first) as program:
                 bad.set()
@@ -110,11 +110,11 @@
                     entries[1],
                     entry("r2", other.address, "prefill"),
                 ]
-                await program.discovery.tell(new)
+                await program.discovery.publish(new)
                 await asyncio.sleep(0.5)
-                before = len(reader.named("POST /v1/chat"))
+                before = len(reader.calls_to("POST /v1/chat"))
                 assert (await program.ask(chat("r")))[0].split()[1] == "200"
-                assert len(reader.named("POST /v1/chat")) == before, "it drains"
+                assert len(reader.calls_to("POST /v1/chat")) == before, "it drains"
                 assert await program.stop() == 0
 
     asyncio.run(within(test(), 60))
@@ -130,7 +130,7 @@
     """Clients that come while it fails have an answer within their time, also as a stop comes meanwhile."""
 
     async def test():
-        async with Server(read_it) as reader, Server(write_it) as writer:
+        async with Server(complete_read) as reader, Server(stream_response) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             failing = injecting({"call": "accept", "errno": code, "share": 0.9})
             async with platform(tmp_path, entries, first=failing) as program:
@@ -140,10 +140,10 @@
                     if stop:
                         await asyncio.sleep(0.05)
                         program.process.terminate()
-                    begun = loop.time()
+                    started_at = loop.time()
                     answers = await asyncio.gather(*asked)
                     assert all(each and each[0].split()[1] in ("200", "503") for each in answers), answers
-                    assert stop or loop.time() - begun < 4, "within the time that the clients have"
+                    assert stop or loop.time() - started_at < 4, "within the time that the clients have"
                 assert await within(program.process.wait()) == 0
 
     asyncio.run(within(test(), 60))
@@ -156,7 +156,7 @@
         if call[0].startswith("POST /v1/holds/q"):
             writer.write(message("HTTP/1.1 204 No Content"))
         else:
-            await write_it(call, writer)
+            await stream_response(call, writer)
 
     async def test():
         async with partitioned(tmp_path, write=write) as program:
@@ -165,9 +165,9 @@
             client.write(chat("q"))
             (_, writer) = program.servers
             await writer.wait_for("POST /v1/holds/q")
-            begun = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await writer.wait_for("DELETE /v1/holds/q")
-            assert asyncio.get_running_loop().time() - begun < 3, "long before the request's own end"
+            assert asyncio.get_running_loop().time() - started_at < 3, "long before the request's own end"
             program.paths[0].heal()
             client.close()
 
@@ -180,7 +180,7 @@
     async def read(call, writer):
         if call[1].get("x-correlation-id") == "q":
             await asyncio.Event().wait()
-        await read_it(call, writer)
+        await complete_read(call, writer)
 
     async def test():
         async with partitioned(tmp_path, read=read) as program:
@@ -189,7 +189,7 @@
             reader, writer = program.servers
             await reader.wait_for("POST /v1/chat", 2)
             client.close()
-            both = lambda: [*reader.named("DELETE /v1/holds/q"), *writer.named("DELETE /v1/holds/q")]  # noqa: E731
+            both = lambda: [*reader.calls_to("DELETE /v1/holds/q"), *writer.calls_to("DELETE /v1/holds/q")]  # noqa: E731
             while len(both()) < 2:
                 await asyncio.sleep(0.02)
             assert await program.stop() == 0
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -200,7 +200,7 @@
     async def test():
         async with Server(turn_away) as server, sidecar(tmp_path, server) as program:
             assert await status(program, infer(id="b1", time_left_ms=300)) == 503
-            server.play = serve
+            server.respond = serve
             assert await status(program, infer(id="b1")) in (200, 503)
             while await status(program, infer(id="b1")) == 503:
                 pass
@@ -286,8 +286,8 @@
         ):
             assert await status(program, infer(cls="lookup", session="s")) == 200
             cut_off, other = sorted((a, b), key=lambda server: not server.address.endswith(str(mute[0])))
-            assert cut_off.named("GET /v2/health/live") and not other.named("GET")
-            assert len(cut_off.named("POST")) == len(other.named("POST")) == 1
+            assert cut_off.calls_to("GET /v2/health/live") and not other.calls_to("GET")
+            assert len(cut_off.calls_to("POST")) == len(other.calls_to("POST")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
 
     run(test())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -5,7 +5,7 @@
 import time
 
 from standins import chat, free_port, read_message, within
-from test_platform import desk, run
+from test_platform import run, running_conductor
 
 
 async def call(address, line, wait=2.0):
@@ -26,7 +26,7 @@
 def test_all_calls_are_answered_and_statistics_count_requests(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
+        async with running_conductor(tmp_path, operator=address) as program:
             assert await call(address, b"HEALTH\n") == ["+OK ready"]
             first, _, _ = await program.ask(chat(id="r1"))
             assert first.startswith("HTTP/1.1 200")
@@ -58,7 +58,7 @@
     async def test():
         address = operator_address()
         host, port = address.split(":")
-        async with desk(tmp_path, operator=address) as program:
+        async with running_conductor(tmp_path, operator=address) as program:
             idle_connections = [await asyncio.open_connection(host, int(port)) for _ in range(20)]
             for _, writer in idle_connections[:10]:
                 writer.write(b"HEAL")  # an incomplete call
@@ -78,7 +78,7 @@
 def test_drain_closes_idle_connections_and_serves_active_ones_once_more(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
+        async with running_conductor(tmp_path, operator=address) as program:
             idle = await program.connect()
             active = await program.connect()
             active[1].write(chat(id="k0"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -31,7 +31,7 @@
 )
 
 
-async def read_it(call, writer):
+async def complete_read(call, writer):
     """Act as a reader that completes reads, holds no reservations and accepts every release."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(message("HTTP/1.1 202 Accepted", b'{"cached_tokens":4}'))
@@ -39,7 +39,7 @@
         writer.write(message("HTTP/1.1 204 No Content"))
 
 
-async def write_it(call, writer):
+async def stream_response(call, writer):
     """Act as a writer that streams a response."""
     if call[0].startswith("POST /v1/chat"):
         writer.write(STREAM + chunk(EVENT) + chunk(USAGE + DONE) + b"0\r\n\r\n")
@@ -51,9 +51,9 @@
     await asyncio.Event().wait()
 
 
-async def never_read(call, writer):
+async def never_complete_read(call, writer):
     """Act as a reader that never completes a read and answers everything else."""
-    await (hang if call[0].startswith("POST /v1/chat") else read_it)(call, writer)
+    await (hang if call[0].startswith("POST /v1/chat") else complete_read)(call, writer)
 
 
 def reader_waiting_for_reservation():
@@ -63,18 +63,18 @@
     async def read(call, writer):
         if call[0].startswith("POST /v1/chat"):
             await within(reservation_requested.wait())
-        await read_it(call, writer)
+        await complete_read(call, writer)
 
     async def write(call, writer):
         if call[0].startswith("POST /v1/holds"):
             reservation_requested.set()
-        await write_it(call, writer)
+        await stream_response(call, writer)
 
     return {"read": read, "write": write}
 
 
 @asynccontextmanager
-async def desk(tmp_path, read=read_it, write=write_it, **changes):
+async def running_conductor(tmp_path, read=complete_read, write=stream_response, **changes):
     async with Server(read) as reader, Server(write) as writer:
         entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
         async with platform(tmp_path, entries, **changes) as program:
@@ -88,15 +88,15 @@
 
 def test_a_request_is_read_then_written_and_its_events_pass_unchanged(tmp_path):
     async def test():
-        async with desk(tmp_path, **reader_waiting_for_reservation()) as program:
+        async with running_conductor(tmp_path, **reader_waiting_for_reservation()) as program:
             first, headers, body = await program.ask(chat(body=b'{"stream": true,  "n":1}'))
             assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
             for server in (program.reader, program.writer):
-                (call,) = server.named("POST /v1/chat/completions")
+                (call,) = server.calls_to("POST /v1/chat/completions")
                 assert call[2] == b'{"stream": true,  "n":1}' and call[1]["x-correlation-id"] == "r1"
                 assert 0 < int(call[1]["x-time-left-ms"]) <= 4000
             (hold,) = await program.writer.wait_for("POST /v1/holds/r1")
-            assert not program.reader.named("DELETE") and not program.writer.named("DELETE")
+            assert not program.reader.calls_to("DELETE") and not program.writer.calls_to("DELETE")
             assert await program.stop() == 0
 
     run(test())
@@ -111,7 +111,7 @@
 
         async def write_one_by_one(call, writer):
             if not call[0].startswith("POST /v1/chat"):
-                await write_it(call, writer)
+                await stream_response(call, writer)
                 return
             writer.write(STREAM)
             size = -(-len(EVENT) // pieces)
@@ -121,7 +121,7 @@
                 await received.get()
             writer.write(chunk(USAGE + DONE) + b"0\r\n\r\n")
 
-        async with desk(tmp_path, write=write_one_by_one) as program:
+        async with running_conductor(tmp_path, write=write_one_by_one) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             await within(reader.readuntil(b"\r\n\r\n"))
@@ -144,13 +144,13 @@
     """Without the key, each repeat of a request would run at an endpoint that discards repeats by it."""
 
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             extra_headers = b"Host: h\r\nidempotency-key: 20fb\r\nContent-Type: text/x"
             request = chat().replace(b"Host: h", extra_headers)
             assert (await program.ask(request))[0].split()[1] == "200"
             assert (await program.ask(chat(id="r2")))[0].split()[1] == "200"
             for server in (program.reader, program.writer):
-                with_key, without = server.named("POST /v1/chat/completions")
+                with_key, without = server.calls_to("POST /v1/chat/completions")
                 assert with_key[1]["idempotency-key"] == "20fb" and with_key[1]["content-type"] == "text/x"
                 assert "idempotency-key" not in without[1]
                 assert without[1]["content-type"] == "application/json"
@@ -177,32 +177,32 @@
 )
 def test_a_malformed_request_is_refused_and_not_sent_to_an_endpoint(tmp_path, data, status):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             assert (await program.ask(data))[0].split()[1] == str(status)
             assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
-            assert len(program.reader.named("POST")) == 1, "only the valid one reached a reader"
+            assert len(program.reader.calls_to("POST")) == 1, "only the valid one reached a reader"
 
     run(test())
 
 
 def test_a_body_of_256_kib_passes(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             body = b'{"a":"' + b"x" * (262144 - 8) + b'"}'
             assert (await program.ask(chat(body=body)))[0].split()[1] == "200"
-            assert program.writer.named("POST /v1/chat")[0][2] == body
+            assert program.writer.calls_to("POST /v1/chat")[0][2] == body
 
     run(test())
 
 
 def test_path_and_query_are_unchanged_also_in_an_absolute_url_and_after_100_continue(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             query = "?a=%7e%2F&b=+x"
             assert (await program.ask(chat(query=query)))[0].split()[1] == "200"
             absolute_url = chat(id="r2", query=query).replace(b"POST /", b"POST http://service.internal/")
             assert (await program.ask(absolute_url))[0].split()[1] == "200"
-            for call in program.writer.named("POST /v1/chat"):
+            for call in program.writer.calls_to("POST /v1/chat"):
                 assert call[0].split()[1] == "/v1/chat/completions" + query
             reader, writer = await program.connect()
             head, _, body = chat(id="r3").partition(b"\r\n\r\n")
@@ -216,7 +216,7 @@
 
 def test_a_connection_over_the_limit_evicts_an_idle_one_or_is_refused(tmp_path):
     async def test():
-        async with desk(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
+        async with running_conductor(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
             idle, idle_writer = await program.connect()
             idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle)))[0].split()[1] == "200"
@@ -241,15 +241,15 @@
             await writer.drain()
             writer.close()
         else:
-            await write_it(call, writer)
+            await stream_response(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=break_stream) as program:
+        async with running_conductor(tmp_path, write=break_stream) as program:
             reader, writer = await program.connect()
             writer.write(chat())
             got = await within(reader.read())
             assert EVENT in got and not got.endswith(b"0\r\n\r\n")
-            assert len(program.writer.named("POST /v1/chat")) == 1, "no further attempt is made"
+            assert len(program.writer.calls_to("POST /v1/chat")) == 1, "no further attempt is made"
 
     run(test())
 
@@ -265,14 +265,14 @@
             failed_calls.append(call)
             writer.close()  # the request had arrived completely, so it may have run
         else:
-            await write_it(call, writer)
+            await stream_response(call, writer)
 
     async def test():
-        async with Server(fail_once) as second, desk(tmp_path, write=fail_once) as program:
-            await program.discovery.tell([*program.entries, entry("w2", second.address, "decode")])
+        async with Server(fail_once) as second, running_conductor(tmp_path, write=fail_once) as program:
+            await program.discovery.publish([*program.entries, entry("w2", second.address, "decode")])
             await program.line("endpoints")
             assert (await program.ask(chat(cls=cls)))[0].split()[1] == status
-            chats = program.writer.named("POST /v1/chat") + second.named("POST /v1/chat")
+            chats = program.writer.calls_to("POST /v1/chat") + second.calls_to("POST /v1/chat")
             assert len(chats) == expected_calls
 
     run(test())
@@ -280,20 +280,20 @@
 
 def test_a_client_disconnect_ends_the_read_and_releases_its_reservations(tmp_path):
     async def test():
-        async with desk(tmp_path, read=never_read) as program:
+        async with running_conductor(tmp_path, read=never_complete_read) as program:
             _, writer = await program.connect()
             writer.write(chat())
             await program.reader.wait_for("POST /v1/chat")
             writer.close()
             assert (await within(program.reader.closed.get()))[0].startswith("POST /v1/chat")
-            assert (await program.reader.wait_for("DELETE /v1/holds/r1")) or program.writer.named("DELETE")
+            assert (await program.reader.wait_for("DELETE /v1/holds/r1")) or program.writer.calls_to("DELETE")
 
     run(test())
 
 
 def test_a_request_past_its_deadline_is_refused_and_released(tmp_path):
     async def test():
-        async with desk(tmp_path, read=never_read) as program:
+        async with running_conductor(tmp_path, read=never_complete_read) as program:
             first, headers, _ = await program.ask(chat(left=300))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             await program.reader.wait_for("DELETE /v1/holds/r1")
@@ -319,14 +319,16 @@
 
 def test_a_draining_endpoint_gets_nothing_new(tmp_path):
     async def test():
-        async with Server(write_it) as second, desk(tmp_path) as program:
+        async with Server(stream_response) as second, running_conductor(tmp_path) as program:
             drained = entry("w1", program.writer.address, "decode", "Terminating")
-            await program.discovery.tell([program.entries[0], drained, entry("w2", second.address, "decode")])
+            await program.discovery.publish(
+                [program.entries[0], drained, entry("w2", second.address, "decode")]
+            )
             while (await program.line("endpoints"))["not_live"] != {"w1": "draining"}:
                 pass
             for number in range(6):
                 assert (await program.ask(chat(id=f"r{number}")))[0].split()[1] == "200"
-            assert not program.writer.named("POST") and len(second.named("POST /v1/chat")) == 6
+            assert not program.writer.calls_to("POST") and len(second.calls_to("POST /v1/chat")) == 6
 
     run(test())
 
@@ -340,10 +342,10 @@
             await resume.wait()
             writer.write(chunk(DONE) + b"0\r\n\r\n")
         else:
-            await write_it(call, writer)
+            await stream_response(call, writer)
 
     async def test():
-        async with desk(tmp_path, write=wait_midway) as program:
+        async with running_conductor(tmp_path, write=wait_midway) as program:
             idle_reader, idle_writer = await program.connect()
             idle_writer.write(message("GET /health/ready HTTP/1.1", Host="h"))
             assert (await within(read_message(idle_reader)))[0].split()[1] == "200"
@@ -373,7 +375,7 @@
 
 def test_a_release_is_sent_to_another_endpoint_if_one_does_not_respond(tmp_path):
     async def test():
-        async with desk(tmp_path, read=hang) as program:
+        async with running_conductor(tmp_path, read=hang) as program:
             assert (await program.ask(chat(left=300)))[0].split()[1] == "503"
             assert await program.writer.wait_for("DELETE /v1/holds/r1")
 
@@ -384,14 +386,16 @@
     """Cancelled and repeated calls would keep an overloaded discovery down for all conductors."""
 
     async def test():
-        async with desk(tmp_path, settings={**SETTINGS, "balancers": 40, "discovery": "ask"}) as program:
+        async with running_conductor(
+            tmp_path, settings={**SETTINGS, "balancers": 40, "discovery": "ask"}
+        ) as program:
 
             async def respond_slowly(call, writer):
                 await asyncio.sleep(1.2)
                 body = {"index": 9, "endpoints": [{**program.entries[0], "status": "Gone"}]}
                 writer.write(message("HTTP/1.1 200 OK", json.dumps(body).encode()))
 
-            program.discovery.play = respond_slowly
+            program.discovery.respond = respond_slowly
             await program.line("endpoints")
             await program.discovery.wait_for("GET /registry/instances?since=9")
             assert not program.discovery.closed.qsize(), "no call was cancelled"
@@ -401,7 +405,7 @@
 
 def test_the_calls_made_for_a_request_are_counted(tmp_path):
     async def test():
-        async with desk(tmp_path, **reader_waiting_for_reservation()) as program:
+        async with running_conductor(tmp_path, **reader_waiting_for_reservation()) as program:
             await program.ask(chat())
             await program.writer.wait_for("POST /v1/holds/r1")
             program.process.send_signal(signal.SIGTERM)
@@ -415,13 +419,13 @@
 
 def test_the_watch_recovers_after_a_discovery_outage(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
-            program.discovery.play, play = close_it, program.discovery.play
-            await program.discovery.tell([])
+            program.discovery.respond, respond = close_it, program.discovery.respond
+            await program.discovery.publish([])
             await program.line("discovery_lost")
-            program.discovery.play = play
-            await program.discovery.tell([{**program.entries[0], "status": "Terminating"}])
+            program.discovery.respond = respond
+            await program.discovery.publish([{**program.entries[0], "status": "Terminating"}])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             await program.line("discovery_back")
@@ -431,16 +435,16 @@
 
 def test_a_watch_with_a_lost_or_invalid_response_is_retried_within_a_second(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             overflowing_entry = {**program.entries[0], "since_ms": 1e30}
-            await program.discovery.tell([overflowing_entry])
+            await program.discovery.publish([overflowing_entry])
             assert "OverflowError" in (await program.line("list_entry_bad"))["error"]
-            program.discovery.play, play = hang, program.discovery.play
+            program.discovery.respond, respond = hang, program.discovery.respond
             calls_before = len(program.discovery.calls)
             await program.discovery.wait_for("GET /registry", calls_before + 1)
-            program.discovery.play = play
+            program.discovery.respond = respond
             started_at = asyncio.get_running_loop().time()
-            await program.discovery.tell([{**program.entries[0], "status": "Terminating"}])
+            await program.discovery.publish([{**program.entries[0], "status": "Terminating"}])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             assert asyncio.get_running_loop().time() - started_at < 2
@@ -456,15 +460,15 @@
     settings = {**SETTINGS, "balancers": 230, "discovery": kind, "rules": {"drain_grace": grace * 10**9}}
 
     async def test():
-        async with desk(tmp_path, settings=settings) as program:
+        async with running_conductor(tmp_path, settings=settings) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
-            program.discovery.play, play = hang, program.discovery.play
+            program.discovery.respond, respond = hang, program.discovery.respond
             calls_before = len(program.discovery.calls)
             await program.discovery.wait_for("GET /registry", calls_before + 1)
             await asyncio.sleep(silent)
-            program.discovery.play = play
+            program.discovery.respond = respond
             started_at = asyncio.get_running_loop().time()
-            await program.discovery.tell([{**program.entries[0], "status": "Terminating"}])
+            await program.discovery.publish([{**program.entries[0], "status": "Terminating"}])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             assert asyncio.get_running_loop().time() - started_at < max_seconds
@@ -474,7 +478,7 @@
 
 def test_invalid_lists_change_nothing_are_logged_and_do_not_end_the_watch(tmp_path):
     async def test():
-        async with desk(tmp_path) as program:
+        async with running_conductor(tmp_path) as program:
             reader, writer_entry = program.entries
             body = None
 
@@ -496,7 +500,7 @@
                 listing = {"index": index, "snapshot": complete, "endpoints": entries}
                 return message("HTTP/1.1 200 OK", json.dumps(listing, **json_options).encode())
 
-            program.discovery.play = send_next_response
+            program.discovery.respond = send_next_response
             truncated = message("HTTP/1.1 200 OK", b'{"index":9,"endp').replace(b"Length: 16", b"Length: 999")
             assert "Payload" in (await send_and_wait_for_log(truncated, "discovery_lost"))["error"]
             for invalid in (b"{not JSON", b'{"index":9}'):
@@ -544,7 +548,7 @@
 
 def test_a_reload_moves_the_watch_and_an_invalid_file_changes_nothing(tmp_path):
     async def test():
-        async with Server(write_it) as second, desk(tmp_path) as program:
+        async with Server(stream_response) as second, running_conductor(tmp_path) as program:
             await program.discovery.wait_for("GET /registry/instances?since=1")
             program.reload("{")
             assert "EDGE_CONFIG" in (await program.line("reload_failed"))["error"]
@@ -562,10 +566,10 @@
                     pass
                 old = len(program.discovery.calls)
                 assert (await program.ask(chat()))[0].split()[1] == "200"
-                assert len(second.named("POST /v1/chat")) == 1 and not program.writer.named("POST")
+                assert len(second.calls_to("POST /v1/chat")) == 1 and not program.writer.calls_to("POST")
                 await moved.wait_for("GET /registry/instances?since=1", 4)
                 assert len(program.discovery.calls) == old, "the old watch ended with its last call"
-                await moved.tell([{**listed[0], "status": "Terminating"}])
+                await moved.publish([{**listed[0], "status": "Terminating"}])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
 
@@ -576,8 +580,8 @@
     resume = asyncio.Event()
 
     async def test():
-        async with desk(tmp_path) as program, Server(hang) as silent:
-            play, drained = program.discovery.play, {**program.entries[0], "status": "Terminating"}
+        async with running_conductor(tmp_path) as program, Server(hang) as silent:
+            respond, drained = program.discovery.respond, {**program.entries[0], "status": "Terminating"}
 
             async def respond_in_two_parts(call, writer):
                 body = json.dumps({"index": 9, "snapshot": False, "endpoints": [drained]}).encode()
@@ -587,11 +591,13 @@
                 await resume.wait()
                 writer.write(response[-20:])
 
-            program.discovery.play = respond_in_two_parts
+            program.discovery.respond = respond_in_two_parts
             await program.line("reloaded")
             resume.set()
             assert (await program.line("endpoints"))["not_live"] == {"r1": "draining"}
-            assert program.discovery.play is not play and await silent.wait_for("GET /registry/instances")
+            assert program.discovery.respond is not respond and await silent.wait_for(
+                "GET /registry/instances"
+            )
 
     run(test())
 
@@ -601,7 +607,7 @@
     """With two reloads, the agent in between does not respond."""
 
     async def test():
-        async with desk(tmp_path) as program, Server(hang) as silent:
+        async with running_conductor(tmp_path) as program, Server(hang) as silent:
             entries, resume, done = program.entries, asyncio.Event(), asyncio.Event()
 
             async def respond_late(call, writer):
@@ -616,7 +622,7 @@
                 done.set()
 
             async with Discovery([{**entries[0], "status": "Terminating"}, entries[1]]) as moved:
-                program.discovery.play = respond_late
+                program.discovery.respond = respond_late
                 await program.line("reloaded")
                 assert (await program.line("endpoints"))["not_live"] == {"r1": "draining"}
                 resume.set()
@@ -683,15 +689,15 @@
             }
             file = tmp_path / "config.json"
             file.write_text(json.dumps(config))
-            play = old.play
+            respond = old.respond
 
             async def reload_during_start(call, writer):
                 if "since" not in call[0]:  # the very first call, which the startup waits for
                     file.write_text(json.dumps({**config, "discovery": moved.address}))
                     os.kill(process.pid, signal.SIGHUP)
-                await play(call, writer)
+                await respond(call, writer)
 
-            old.play = reload_during_start
+            old.respond = reload_during_start
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
@@ -721,8 +727,8 @@
 
 def test_idle_clients_using_all_descriptors_do_not_block_requests_or_discovery(tmp_path):
     async def test():
-        async with desk(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
-            play, program.discovery.play = program.discovery.play, close_it
+        async with running_conductor(tmp_path, limits={"memory_mb": 96, "sockets": 64}) as program:
+            respond, program.discovery.respond = program.discovery.respond, close_it
             await program.line("discovery_lost")
             idle = [await program.connect() for _ in range(64)]
             await asyncio.sleep(0.35)  # until the connections are no longer exempt as new ones
@@ -730,9 +736,9 @@
             for request in (message("GET /health/ready HTTP/1.1", Host="h"), chat()):
                 while (await program.ask(request))[0].split()[1] != "200":  # until the idle ones are found
                     await asyncio.sleep(0.05)
-            program.discovery.play = play
+            program.discovery.respond = respond
             drained = {**program.entries[0], "status": "Terminating"}
-            await program.discovery.tell([drained, program.entries[1]])
+            await program.discovery.publish([drained, program.entries[1]])
             while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                 pass
             for _, writer in idle:
@@ -744,7 +750,7 @@
 
 def test_sighup_never_ends_the_program_even_during_shutdown(tmp_path):
     async def test():
-        async with desk(tmp_path, write=hang) as program:
+        async with running_conductor(tmp_path, write=hang) as program:
             reader, writer = await program.connect()
             writer.write(chat(left=900))
             await program.writer.wait_for("POST /v1/chat")
@@ -772,7 +778,7 @@
 def test_bodies_are_refused_before_they_exceed_the_memory_limit(tmp_path):
     async def test():
         limits = {"memory_mb": 96, "sockets": 1024}
-        async with desk(tmp_path, read=hang, limits=limits) as program:
+        async with running_conductor(tmp_path, read=hang, limits=limits) as program:
             body = b'{"a":"' + b"x" * 262000 + b'"}'
             requests = [chat(id=f"r{n}", left=3000, body=body) for n in range(120)]
             answers = await asyncio.gather(*map(program.ask, requests))
@@ -796,7 +802,7 @@
         elif call[0].startswith("GET /stats"):
             writer.write(message("HTTP/1.1 200 OK", b"latency_ms=12.5,x0=0.1,x1=0"))
         else:
-            await read_it(call, writer)
+            await complete_read(call, writer)
 
     async def test():
         report_columns = {
@@ -810,10 +816,10 @@
             "family_info": {**SETTINGS["family_info"], **report_columns},
         }
         async with (
-            desk(tmp_path, lose_first_read, settings=settings) as program,
+            running_conductor(tmp_path, lose_first_read, settings=settings) as program,
             Server(lose_first_read) as r2,
         ):
-            await program.discovery.tell([*program.entries, entry("r2", r2.address, "prefill")])
+            await program.discovery.publish([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
                 pass
             started_at = asyncio.get_running_loop().time()
@@ -824,8 +830,8 @@
             silent, other = sorted(
                 (program.reader, r2), key=lambda r: not r.address.endswith(str(lost_ports[0]))
             )
-            assert len(silent.named("GET /stats")) >= 2 and not silent.named("GET /health")
-            assert len(silent.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
+            assert len(silent.calls_to("GET /stats")) >= 2 and not silent.calls_to("GET /health")
+            assert len(silent.calls_to("POST /v1/chat")) == len(other.calls_to("POST /v1/chat")) == 1
 
     run(test())
 
@@ -837,23 +843,23 @@
         port = writer.get_extra_info("sockname")[1]
         if call[0].startswith("POST /v1/chat") and not hanging_ports:
             hanging_ports.append(port)
-        await (hang if port in hanging_ports else read_it)(call, writer)
+        await (hang if port in hanging_ports else complete_read)(call, writer)
 
     async def test():
         settings = {**SETTINGS, "allowed": {**SETTINGS["allowed"], "probes": True}}
         async with (
-            desk(tmp_path, hang_first_endpoint, settings=settings) as program,
+            running_conductor(tmp_path, hang_first_endpoint, settings=settings) as program,
             Server(hang_first_endpoint) as r2,
         ):
-            await program.discovery.tell([*program.entries, entry("r2", r2.address, "prefill")])
+            await program.discovery.publish([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
                 pass
             assert (await program.ask(chat()))[0].split()[1] == "200"
             cut_off, other = sorted(
                 (program.reader, r2), key=lambda r: not r.address.endswith(str(hanging_ports[0]))
             )
-            assert cut_off.named("GET /health/live") and not other.named("GET /health/live")
-            assert len(cut_off.named("POST /v1/chat")) == len(other.named("POST /v1/chat")) == 1
+            assert cut_off.calls_to("GET /health/live") and not other.calls_to("GET /health/live")
+            assert len(cut_off.calls_to("POST /v1/chat")) == len(other.calls_to("POST /v1/chat")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
 
     run(test())
@@ -866,7 +872,7 @@
 
     async def test():
         settings = {**SETTINGS, "balancers": 1100, "position": 1099}
-        async with Server(read_it) as reader, Server(write_it) as writer:
+        async with Server(complete_read) as reader, Server(stream_response) as writer:
             servers = {"prefill": reader, "decode": writer}
             listed = [
                 entry(f"{kind}-{n}", server.address, kind)
@@ -876,7 +882,7 @@
             known = {"index": 0, "snapshot": True, "endpoints": listed[:2]}
             async with platform(tmp_path, listed, known=known, settings=settings) as program:
                 assert [line["known"] for line in program.log if line["event"] == "endpoints"] == [2, 1100]
-                await program.discovery.tell([{**each, "status": "Terminating"} for each in listed[:600]])
+                await program.discovery.publish([{**each, "status": "Terminating"} for each in listed[:600]])
                 assert len((await program.line("endpoints"))["not_live"]) == 600
                 for n in range(30):
                     assert (await program.ask(chat(f"r{n}")))[0].split()[1] == "200"
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -120,7 +120,7 @@
             drain(runtime, "w1")
             up.set()
             await asyncio.sleep(0.1)
-            assert not writer.named("POST"), "neither a place nor anything else"
+            assert not writer.calls_to("POST"), "neither a place nor anything else"
 
     asyncio.run(test())
 
@@ -136,7 +136,7 @@
             await within(reader.closed.get())
             up.set()
             await within(runtime.wait_idle())
-            assert not writer.named("POST") and not runtime.state.requests
+            assert not writer.calls_to("POST") and not runtime.state.requests
 
     asyncio.run(test())
 
@@ -155,7 +155,7 @@
             while runtime.state.requests:
                 await asyncio.sleep(0.01)
             held_up = {"reader": reader, "writer": writer}[address_of]
-            assert not held_up.named("POST") and not runtime.attempts
+            assert not held_up.calls_to("POST") and not runtime.attempts
 
     asyncio.run(within(test(), 20))
 
@@ -249,7 +249,7 @@
             async with platform(tmp_path, entries, settings={**SETTINGS, **patient}) as program:
                 asked = asyncio.create_task(program.ask(chat(left=9000)))
                 await asyncio.sleep(0.2)
-                await program.discovery.tell([{**entries[0], "status": "Terminating"}, entries[1]])
+                await program.discovery.publish([{**entries[0], "status": "Terminating"}, entries[1]])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
                 came = []
@@ -299,7 +299,7 @@
             async with platform(tmp_path, entries) as program:
                 assert (await program.ask(chat(left=900)))[0].split()[1] == "503"
                 assert await writer.wait_for("DELETE /v1/holds/r1")
-                await program.discovery.tell([{**each, "status": "Terminating"} for each in entries])
+                await program.discovery.publish([{**each, "status": "Terminating"} for each in entries])
                 while not (told := await program.line("endpoints"))["not_live"]:
                     pass
                 assert set(told["last_sent"]) == {"r1", "w1"}, "when something new last went to each"
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -10,7 +10,7 @@
 from test_core import SETTINGS as CORE_SETTINGS
 from test_core import Core
 from test_operator import call, operator_address
-from test_platform import desk, hang, run
+from test_platform import hang, run, running_conductor
 
 from hoplane.core import events as ev
 from hoplane.decision import interface as api
@@ -32,7 +32,7 @@
 def test_a_new_class_is_served_after_a_reload_and_a_dropped_one_is_not(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
+        async with running_conductor(tmp_path, operator=address) as program:
             program.reload(settings=settings(lanes=[FRESH]))
             assert (await program.line("retuned"))["classes"] == ["fresh"]
             first, _, _ = await program.ask(chat(id="n1", cls="fresh"))
@@ -80,8 +80,8 @@
 def test_each_kind_of_bad_file_is_turned_down_whole_named_and_counted(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
-            files = list(bad_files(program.told))
+        async with running_conductor(tmp_path, operator=address) as program:
+            files = list(bad_files(program.config))
             for number, (text, key) in enumerate(files, 1):
                 program.reload(text)
                 error = (await program.line("reload_failed"))["error"]
@@ -118,11 +118,11 @@
 @pytest.mark.parametrize("reload_first", [True, False])
 def test_a_stream_open_at_a_reload_goes_on(tmp_path, reload_first):
     async def test():
-        async with desk(tmp_path, write=hang) as program:
+        async with running_conductor(tmp_path, write=hang) as program:
             reader, writer = await program.connect()
             writer.write(chat(id="open", left=900))
             await program.writer.wait_for("POST /v1/chat")
-            program.reload(settings=settings(lanes=[FRESH]) if reload_first else program.told["settings"])
+            program.reload(settings=settings(lanes=[FRESH]) if reload_first else program.config["settings"])
             await program.line("retuned")
             first = (await asyncio.wait_for(reader.readline(), 5)).decode()
             assert first.split()[1] in ("502", "503"), "its own deadline ends it, as before"
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -52,7 +52,7 @@
             runtime.feed(ClientDisconnected("q"))
             await within(runtime.wait_idle())
             await reader.wait_for("DELETE /v1/holds/q")
-            assert not runtime.state.requests and not reader.named("POST")
+            assert not runtime.state.requests and not reader.calls_to("POST")
             await runtime.pool.close()
 
     asyncio.run(within(test(), 60))
@@ -78,7 +78,7 @@
             )
             runtime.feed(ClientDisconnected("q"))
             await within(runtime.wait_idle())
-            assert not reader.named("POST") and not writer.named("POST")
+            assert not reader.calls_to("POST") and not writer.calls_to("POST")
             await runtime.pool.close()
 
     asyncio.run(within(test(), 60))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -5,7 +5,7 @@
 
 from standins import DONE, EVENT, STREAM, USAGE, chat, chunk, free_port, message, read_message, within
 from test_operator import call, operator_address
-from test_platform import desk, run
+from test_platform import run, running_conductor
 
 
 def create_platform_socket():
@@ -28,7 +28,10 @@
         with platform_socket:
             (tmp_path / "old").mkdir()
             (tmp_path / "new").mkdir()
-            async with desk(tmp_path / "old", **options) as old, desk(tmp_path / "new", **options) as new:
+            async with (
+                running_conductor(tmp_path / "old", **options) as old,
+                running_conductor(tmp_path / "new", **options) as new,
+            ):
                 for number in range(6):
                     first, _, body = await old.ask(chat(id=f"r{number}"))
                     assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
@@ -80,7 +83,7 @@
         with platform_socket:
             (tmp_path / "old").mkdir()
             (tmp_path / "new").mkdir()
-            async with desk(
+            async with running_conductor(
                 tmp_path / "old", write=stream_until_released, operator=old_operator, **options
             ) as old:
                 idle = await old.connect()
@@ -88,7 +91,7 @@
                 streaming[1].write(chat(id="long"))
                 await old.writer.wait_for("POST /v1/chat")
                 assert await call(old_operator, b"HEALTH\r\n") == ["+OK ready"]
-                async with desk(tmp_path / "new", operator=new_operator, **options) as new:
+                async with running_conductor(tmp_path / "new", operator=new_operator, **options) as new:
                     await old.line("giving_way")
                     assert (await call(old_operator, b"HEALTH\r\n"))[0].startswith("-ERR")
                     answer = await call(new_operator, b"HEALTH\r\n")
