--- a/hoplane/net/aiohttp_internals.py
+++ b/hoplane/net/aiohttp_internals.py
@@ -24,7 +24,7 @@
 from hoplane.core import permits
 from hoplane.core.invariants import Violation
 from hoplane.core.permits import Denial
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 
 MAX_HEAD_BYTES = 64 * 1024  # of a response's head, including all interim responses before it
 HEAD_TIMEOUT = timedelta(seconds=0.3)  # from a head's first byte to its end; endpoints write it in one piece
@@ -294,18 +294,18 @@
     def close_denial(self) -> Denial | None:
         """Return why the connection may not be closed, or None if it may."""
         # The system call comes last, because a flood of new connections makes this run for many of them.
-        return self.check_close(bytes_wait=False) or self.check_close(
-            bytes_wait=bool(peek_unread(self.transport))
+        return self.check_close(unread_bytes=False) or self.check_close(
+            unread_bytes=bool(peek_unread(self.transport))
         )
 
-    def check_close(self, bytes_wait: bool) -> Denial | None:
+    def check_close(self, unread_bytes: bool) -> Denial | None:
         """Return why the connection may not be closed, given whether unread bytes are pending."""
         return permits.may_close(
-            request_open=not self.idle,
-            bytes_wait=bytes_wait,
+            request_in_progress=not self.idle,
+            unread_bytes=unread_bytes,
             age=self._loop.time() - self.idle_since,
             served=self.served,
-            fresh=NEW_CONNECTION_GRACE.total_seconds(),
+            initial_grace=NEW_CONNECTION_GRACE.total_seconds(),
         )
 
     @property
@@ -492,7 +492,7 @@
                 if denial is None:
                     self.close_connection(connection)
                     return True
-                if denial is Denial.TOO_YOUNG:  # the rest of the group is younger still
+                if denial is Denial.CONNECTION_NEW:  # the rest of the group is younger still
                     break
         return False
 
@@ -529,7 +529,7 @@
         return None
     except OSError as error:
         # Lack of memory says nothing about the connection; any other error means that it has ended.
-        return None if error.errno in EXHAUSTED else b""
+        return None if error.errno in RESOURCE_EXHAUSTED else b""
     finally:
         duplicate.detach()
 
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -88,7 +88,7 @@
         then count as reported from the start of this one.
         """
         with suppress(TimeoutError):
-            async with asyncio.timeout(self.pacing.first.total_seconds()):
+            async with asyncio.timeout(self.pacing.first_answer_timeout.total_seconds()):
                 await self.responded.wait()
 
     async def watch(self) -> None:
@@ -104,7 +104,7 @@
             silent = await self.poll()
             if silent is None:
                 last_success = started_at
-                self.pacing.answered()
+                self.pacing.succeeded()
                 self.responded.set()
                 if self.failing:
                     log.write_event("discovery_back", index=self.index)
@@ -115,7 +115,7 @@
 
     async def poll(self) -> bool | None:
         """Make one call and process the response; if it fails, return whether there was no response."""
-        path, (hold_time, response_timeout) = "/registry/instances", self.pacing.call()
+        path, (hold_time, response_timeout) = "/registry/instances", self.pacing.next_call()
         if self.index is not None:
             path += f"?since={self.index}&timeout_ms={hold_time // timedelta(milliseconds=1)}"
         self.pool.counters["lists" if self.index is None else "watches"] += 1
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -13,7 +13,7 @@
 import orjson
 
 from hoplane import log
-from hoplane.core.handover import Peer, Verdict, judge
+from hoplane.core.handover import HandoverDecision, Peer, decide_handover
 
 REPORT_INTERVAL = timedelta(milliseconds=100)
 FILE_PREFIX = "hoplane-process-"
@@ -58,7 +58,7 @@
         )
         self.pid, self.started_at, self.started_at_wall = os.getpid(), monotonic(), wall_clock()
         self.path = directory / f"{FILE_PREFIX}{self.pid}.json"
-        self.decision = Verdict(False, False)
+        self.decision = HandoverDecision(False, False)
         self.handover_started = False
 
     @property
@@ -107,7 +107,7 @@
 
     def check_peers(self) -> None:
         """Decide again, and start draining once a newer process is there."""
-        self.decision = judge(self.pid, self.started_at, self.peers(), monotonic())
+        self.decision = decide_handover(self.pid, self.started_at, self.peers(), monotonic())
         if self.decision.superseded and not self.handover_started:
             self.handover_started = True
             log.write_event("giving_way")
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -16,7 +16,7 @@
 from yarl import URL
 
 from hoplane.config import Config
-from hoplane.core.transient import OWN_MACHINE
+from hoplane.core.transient_errors import LOCAL_FAILURES
 from hoplane.net.aiohttp_internals import Connector, disable_resend
 from hoplane.net.counters import Counters
 
@@ -28,7 +28,7 @@
 
 def is_local_failure(error: Exception) -> bool:
     """Return whether a connection failed because of this machine, which says nothing about its endpoint."""
-    return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in OWN_MACHINE
+    return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in LOCAL_FAILURES
 
 
 class SendDeniedError(aiohttp.ClientConnectionError):
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -14,12 +14,12 @@
 from hoplane import log
 from hoplane.config import Config
 from hoplane.core import events as ev
-from hoplane.core.border import to_ns
-from hoplane.core.figures import dump
+from hoplane.core.idempotency import IdempotencyStore
 from hoplane.core.invariants import Invariants, Violation
-from hoplane.core.ledger import Ledger
 from hoplane.core.permits import Denial
-from hoplane.core.reducer import Conductor, steps
+from hoplane.core.reducer import ConductorState, iterate_effects
+from hoplane.core.statistics import collect
+from hoplane.core.time_conversion import to_ns
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
 from hoplane.decision.router import Router
 from hoplane.net.aiohttp_internals import MalformedResponseError, StaleConnectionError
@@ -77,8 +77,8 @@
         parse_load_report: Callable[[bytes], dict[str, float]] = no_load_report,
     ) -> None:
         self.config, self.pool, self.clock = config, pool, Clock()
-        ledger = Ledger(config.ledger_most, config.ledger_keep)
-        self.state = Conductor(config.settings, Router(config.settings, config.seed), ledger)
+        ledger = IdempotencyStore(config.ledger_most, config.ledger_keep)
+        self.state = ConductorState(config.settings, Router(config.settings, config.seed), ledger)
         self.probe_path, self.reservation_path, self.parse_load_report = (
             probe_path,
             reservation_path,
@@ -135,7 +135,7 @@
             if type(event) is ev.EndpointsUpdated:
                 event = self.start_times.convert(event, timedelta(seconds=time.time()), self.clock.now())
             self.count_item(event)
-            effects.extend(steps(self.state, self.clock.now(), event))
+            effects.extend(iterate_effects(self.state, self.clock.now(), event))
         except Exception as error:
             self.record_internal_error(Violation.EVENT_FAILED, event, error)
         for effect in effects:
@@ -150,7 +150,7 @@
         self, violation: Violation, item: ev.Event | ev.Effect, error: Exception
     ) -> None:
         """Count and log an internal error."""
-        self.invariants.note(violation)
+        self.invariants.record(violation)
         kind, id = item.log_name, getattr(item, "id", None)
         log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
@@ -176,29 +176,29 @@
         received = exchange.received
         deadline = self.clock.now() + received.time_left
         self.exchanges[received.id] = exchange
-        self.invariants.taken(received.id, deadline)
+        self.invariants.request_received(received.id, deadline)
         overdue_timer = self.loop.call_at(
             self.clock.loop_time(deadline + OVERDUE_GRACE), self.answer_overdue, exchange
         )
         try:
             self.feed(received)
             response = await final_answer
-            self.log_violation(self.invariants.answered(received.id, self.clock.now()), received.id)
+            self.log_violation(self.invariants.final_answer_given(received.id, self.clock.now()), received.id)
             return response
         except asyncio.CancelledError:
-            self.invariants.left(received.id)
+            self.invariants.client_disconnected(received.id)
             self.feed(ev.ClientDisconnected(received.id))
             raise
         finally:
             overdue_timer.cancel()
             del self.exchanges[received.id]
-            self.log_violation(self.invariants.closed(received.id), received.id)
+            self.log_violation(self.invariants.handler_ended(received.id), received.id)
 
     def answer_overdue(self, exchange: Exchange) -> None:
         """Answer a request that is past its deadline without an answer, as some event was lost."""
         id = exchange.received.id
         request = self.state.requests.get(id)
-        if request is not None and request.began:
+        if request is not None and request.response_started:
             return
         self.report_violation(Violation.ANSWERED_LATE, id)
         exchange.fail(False)
@@ -206,7 +206,7 @@
 
     def report_violation(self, violation: Violation, id: str = "") -> None:
         """Count and log a violation."""
-        self.log_violation(self.invariants.note(violation), id)
+        self.log_violation(self.invariants.record(violation), id)
 
     def release_path(self, id: str) -> str | None:
         """Return the path that releases a request's reservations."""
@@ -219,7 +219,7 @@
 
     def statistics(self) -> dict[str, object]:
         """Return the core's statistics for the operator."""
-        return dump(self.state, to_ns(self.clock.now()))
+        return collect(self.state, to_ns(self.clock.now()))
 
     def count_item(self, item: ev.Event | ev.Effect) -> None:
         """Count the calls that the fleet pays for, and the outcomes of attempts and reservations."""
@@ -232,7 +232,7 @@
             if endpoint is not None:
                 self.record_outcome(endpoint.name, item.status)
         if type(item) is ev.ResponseStarted:
-            self.invariants.began(item.id)
+            self.invariants.response_started(item.id)
         if name := COUNTER_NAMES.get(type(item)):
             self.pool.counters[name(item)] += 1
 
@@ -264,7 +264,7 @@
         entry = effect.fields
         if not_live := entry.get("not_live"):
             entry = {**entry, "last_sent": {n: self.last_sent[n] for n in not_live if n in self.last_sent}}
-            self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.numbers}
+            self.last_sent = {n: at for n, at in self.last_sent.items() if n in self.state.server_ids}
         log.write_event(effect.event, **entry)
 
     def refuse(self, effect: ev.Refuse) -> None:
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -13,7 +13,7 @@
 from hoplane.config import MAX_BODY_BYTES, Config, Limits
 from hoplane.core import permits
 from hoplane.core.permits import Denial, Phase
-from hoplane.core.transient import EXHAUSTED
+from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 from hoplane.net.aiohttp_internals import HttpServer, bound_socket
 from hoplane.net.listener import Listener
 
@@ -187,7 +187,7 @@
                 sock = bound_socket(*self.config.listen, inherited=self.config.inherited)
                 break
             except OSError as error:
-                if error.errno not in EXHAUSTED or attempts_left == 0:
+                if error.errno not in RESOURCE_EXHAUSTED or attempts_left == 0:
                     raise
                 await asyncio.sleep(LISTEN_RETRY_DELAY.total_seconds())
         self.listener = Listener(sock, self.http_server)
@@ -211,7 +211,7 @@
 
     def may_start(self) -> Denial | None:
         """Return why a request that was just read may not be accepted, or None if it may."""
-        return permits.may_start(self.phase)
+        return permits.may_accept(self.phase)
 
     @property
     def ready(self) -> bool:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -118,17 +118,19 @@
 def test_a_new_process_becomes_ready_after_a_delay_if_the_old_one_stays_busy():
     from datetime import timedelta
 
-    from hoplane.core.handover import PATIENCE, Peer, judge
+    from hoplane.core.handover import MAX_READINESS_DELAY, Peer, decide_handover
 
     s = timedelta(seconds=1)
     old = Peer(10, 100 * s, 3, 104 * s)
-    assert judge(11, 103 * s, [old], 104 * s).waiting
-    assert not judge(11, 103 * s, [old], 103 * s + PATIENCE).waiting, "it is ready after the maximum delay"
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, (
+    assert decide_handover(11, 103 * s, [old], 104 * s).waiting
+    assert not decide_handover(11, 103 * s, [old], 103 * s + MAX_READINESS_DELAY).waiting, (
+        "it is ready after the maximum delay"
+    )
+    assert not decide_handover(11, 103 * s, [Peer(10, 100 * s, 0, 104 * s)], 104 * s).waiting, (
         "the old one has no open requests"
     )
-    assert not judge(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, (
+    assert not decide_handover(11, 103 * s, [Peer(10, 100 * s, 3, 101 * s)], 104 * s).waiting, (
         "the old one no longer reports"
     )
-    assert judge(10, 100 * s, [Peer(11, 103 * s, 0, 104 * s)], 104 * s).superseded
-    assert not judge(11, 103 * s, [old], 104 * s).superseded
+    assert decide_handover(10, 100 * s, [Peer(11, 103 * s, 0, 104 * s)], 104 * s).superseded
+    assert not decide_handover(11, 103 * s, [old], 104 * s).superseded
