--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -11,7 +11,7 @@
 import pytest
 from click.testing import CliRunner
 from standins import Server, chat, entry, message, platform, within
-from test_platform import read_it, write_it
+from test_platform import complete_read, stream_response
 
 from hoplane.lab import faults
 from hoplane.lab.__main__ import lab
@@ -19,7 +19,7 @@
 
 
 @asynccontextmanager
-async def partitioned(tmp_path, read=read_it, write=write_it, **options):
+async def partitioned(tmp_path, read=complete_read, write=stream_response, **options):
     """Run the program with a partitionable path to each endpoint, both used by one request before."""
     async with (
         Server(read) as reader,
@@ -94,7 +94,7 @@
                 writer.write(b"no head at all\r\n\r\n")
                 writer.close()
                 return
-            await read_it(call, writer)
+            await complete_read(call, writer)
 
         first = (
             "from hoplane import conductor as it\nimport os\nwrite = it.log.write_event\n"
@@ -102,7 +102,7 @@
             '    event == "started" and os.dup2(os.open("/dev/full", os.O_WRONLY), 2)\n'
             "it.log.write_event = last\n"
         )
-        async with Server(read) as reader, Server(write_it) as writer, Server(read_it) as other:
+        async with Server(read) as reader, Server(stream_response) as writer, Server(complete_read) as other:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=first) as program:
                 malformed.set()
@@ -112,11 +112,11 @@
                     entries[1],
                     entry("r2", other.address, "prefill"),
                 ]
-                await program.discovery.tell(updated)
+                await program.discovery.publish(updated)
                 await asyncio.sleep(0.5)
-                before = len(reader.named("POST /v1/chat"))
+                before = len(reader.calls_to("POST /v1/chat"))
                 assert (await program.ask(chat("r")))[0].split()[1] == "200"
-                assert len(reader.named("POST /v1/chat")) == before, "the reader is draining"
+                assert len(reader.calls_to("POST /v1/chat")) == before, "the reader is draining"
                 assert await program.stop() == 0
 
     asyncio.run(within(test(), 60))
@@ -132,7 +132,7 @@
     """Clients that connect while accept fails are answered before their deadline, also during a shutdown."""
 
     async def test():
-        async with Server(read_it) as reader, Server(write_it) as writer:
+        async with Server(complete_read) as reader, Server(stream_response) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             fault_setup = inject({"call": "accept", "errno": code, "share": 0.9})
             async with platform(tmp_path, entries, first=fault_setup) as program:
@@ -158,7 +158,7 @@
         if call[0].startswith("POST /v1/holds/q"):
             writer.write(message("HTTP/1.1 204 No Content"))
         else:
-            await write_it(call, writer)
+            await stream_response(call, writer)
 
     async def test():
         async with partitioned(tmp_path, write=write) as program:
@@ -182,7 +182,7 @@
     async def read(call, writer):
         if call[1].get("x-correlation-id") == "q":
             await asyncio.Event().wait()
-        await read_it(call, writer)
+        await complete_read(call, writer)
 
     async def test():
         async with partitioned(tmp_path, read=read) as program:
@@ -191,7 +191,10 @@
             reader, writer = program.servers
             await reader.wait_for("POST /v1/chat", 2)
             client.close()
-            releases = lambda: [*reader.named("DELETE /v1/holds/q"), *writer.named("DELETE /v1/holds/q")]  # noqa: E731
+            releases = lambda: [  # noqa: E731
+                *reader.calls_to("DELETE /v1/holds/q"),
+                *writer.calls_to("DELETE /v1/holds/q"),
+            ]
             while len(releases()) < 2:
                 await asyncio.sleep(0.02)
             assert await program.stop() == 0
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -10,7 +10,7 @@
 from standins import SETTINGS, free_port, message, within
 
 from hoplane.config import from_platform
-from hoplane.net import aio, server
+from hoplane.net import aiohttp_internals, server
 
 REQUEST = message("GET /x HTTP/1.1", Host="h")
 
@@ -20,7 +20,7 @@
 
 
 def error_response(status, text, close=False):
-    return server.problem(status, text, close)
+    return server.error_response(status, text, close)
 
 
 class Client(socket.socket):
@@ -50,18 +50,18 @@
 
 
 @asynccontextmanager
-async def run_server(handler=ok_handler, most=9):
+async def run_server(handler=ok_handler, max_connections=9):
     port = free_port()
     config = {"name": "n", "listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:1", "settings": SETTINGS}
     front_server = server.Server(from_platform(config), handler, error_response)
-    front_server.door.most = most
+    front_server.http_server.max_connections = max_connections
     await front_server.start()
     front_server.port = port
     try:
         yield front_server
     finally:
-        await front_server.shut()
-        for each in front_server.door.connections:
+        await front_server.close_listener()
+        for each in front_server.http_server.connections:
             each.force_close()
 
 
@@ -70,7 +70,9 @@
     client = client or Client(front_server.port)
     client.send(REQUEST)
     assert (await client.read_response()).endswith(b"well")
-    (connection,) = [each for each in front_server.door.connections if each.peername == client.getsockname()]
+    (connection,) = [
+        each for each in front_server.http_server.connections if each.peername == client.getsockname()
+    ]
     while not connection.idle:
         await asyncio.sleep(0)
     return client, connection
@@ -78,7 +80,7 @@
 
 def run(test, monkeypatch=None):
     if monkeypatch:
-        monkeypatch.setattr(server, "LINGER", timedelta(milliseconds=50))
+        monkeypatch.setattr(server, "ACCEPT_GRACE", timedelta(milliseconds=50))
     asyncio.run(within(test(), 30))
 
 
@@ -87,13 +89,13 @@
 
     async def test():
         async with run_server() as front_server:
-            make_request = front_server.door.request_factory
+            make_request = front_server.http_server.request_factory
 
             def racing(*args):
-                front_server.door.drop_idle()
+                front_server.http_server.close_idle_connections()
                 return make_request(*args)
 
-            front_server.door.request_factory = racing
+            front_server.http_server.request_factory = racing
             client = Client(front_server.port)
             client.send(REQUEST)
             assert (await client.read_response()).endswith(b"well")
@@ -101,23 +103,23 @@
     run(test)
 
 
-@pytest.mark.parametrize("close", ["drop_idle", "make_room", "_process_keepalive"])
+@pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection", "_process_keepalive"])
 @pytest.mark.parametrize("arrival", ["unread request", "partial head"])
 def test_idle_connection_is_to_be_closed_as_a_request_arrives(monkeypatch, close, arrival):
-    for span in ("FRESH", "SILENT"):  # long enough for a slow machine
-        monkeypatch.setattr(aio, span, timedelta(seconds=60))
+    for span in ("NEW_CONNECTION_GRACE", "CLIENT_IDLE_TIMEOUT"):  # long enough for a slow machine
+        monkeypatch.setattr(aiohttp_internals, span, timedelta(seconds=60))
 
     async def test():
         async with run_server() as front_server:
             client, connection = await idle_connection(front_server)
             if arrival == "partial head":
                 client.send(REQUEST[:20])
-                while not connection.half:
+                while not connection.partial_head_since:
                     await asyncio.sleep(0)
             else:
                 client.send(REQUEST)  # the event loop can't read it before the close
             connection._next_keepalive_close_time = 0.0
-            getattr(connection if close == "_process_keepalive" else front_server.door, close)()
+            getattr(connection if close == "_process_keepalive" else front_server.http_server, close)()
             if arrival == "partial head":
                 client.send(REQUEST[20:])
             assert (await client.read_response()).endswith(b"well")
@@ -125,18 +127,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("close", ["drop_idle", "make_room"])
+@pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection"])
 def test_new_connection_is_to_be_closed_while_its_first_request_is_on_the_way(monkeypatch, close):
-    monkeypatch.setattr(aio, "FRESH", timedelta(seconds=60))
+    monkeypatch.setattr(aiohttp_internals, "NEW_CONNECTION_GRACE", timedelta(seconds=60))
 
     async def test():
         async with run_server() as front_server:
             clients = [Client(front_server.port) for _ in range(2)]
-            while len(found := [each for each in front_server.door.connections if each.idle]) < 2:
+            while len(found := [each for each in front_server.http_server.connections if each.idle]) < 2:
                 await asyncio.sleep(0)
             (old,) = [each for each in found if each.peername == clients[0].getsockname()]
-            old.since -= 61
-            getattr(front_server.door, close)()
+            old.idle_since -= 61
+            getattr(front_server.http_server, close)()
             assert await clients[0].read_to_end() == b"", "one that has been silent for long may be closed"
             clients[1].send(REQUEST)
             assert (await clients[1].read_response()).endswith(b"well")
@@ -149,16 +151,16 @@
         async with run_server() as front_server:
             client, connection = await idle_connection(front_server)
             client.send(REQUEST[:20])
-            while not connection.half:
+            while not connection.partial_head_since:
                 await asyncio.sleep(0)
-            connection.half -= aio.FRESH.total_seconds() + 0.01
-            assert front_server.door.make_room()
+            connection.partial_head_since -= aiohttp_internals.NEW_CONNECTION_GRACE.total_seconds() + 0.01
+            assert front_server.http_server.evict_connection()
             assert await client.read_to_end() == b""
             client, connection = await idle_connection(front_server)
             client.send(REQUEST[:20])
-            while not connection.half:
+            while not connection.partial_head_since:
                 await asyncio.sleep(0)
-            connection.half -= aio.SILENT.total_seconds() + 0.01
+            connection.partial_head_since -= aiohttp_internals.CLIENT_IDLE_TIMEOUT.total_seconds() + 0.01
             connection._process_keepalive()
             assert await client.read_to_end() == b""
 
@@ -169,13 +171,13 @@
     async def test():
         async with run_server() as front_server:
             client, _ = await idle_connection(front_server)
-            close_listener = front_server.shut
+            close_listener = front_server.close_listener
 
             async def racing():
                 await close_listener()
                 client.send(REQUEST)  # just before the idle connections are closed
 
-            front_server.shut = racing
+            front_server.close_listener = racing
             stopping = asyncio.create_task(front_server.stop())
             got = await client.read_response()
             assert got.endswith(b"well") and b"Connection: close" in got
@@ -190,8 +192,8 @@
     """Both connections that the event loop is accepting, and those still in the accept queue."""
 
     async def test():
-        async with run_server(most=50) as front_server:
-            monkeypatch.setattr(server, "LINGER", timedelta())
+        async with run_server(max_connections=50) as front_server:
+            monkeypatch.setattr(server, "ACCEPT_GRACE", timedelta())
             clients = [Client(front_server.port) for _ in range(40)]
             for client in clients:
                 client.send(REQUEST)
@@ -233,7 +235,7 @@
             client = Client(front_server.port)
             client.send(REQUEST)
             await started.wait()
-            (connection,) = front_server.door.connections
+            (connection,) = front_server.http_server.connections
             finish = connection.finish_response
 
             async def racing(*args):
@@ -243,7 +245,9 @@
                         await asyncio.sleep(0)
                 return await finish(*args)
 
-            monkeypatch.setattr(aio.Caller, "finish_response", lambda connection, *args: racing(*args))
+            monkeypatch.setattr(
+                aiohttp_internals.ClientConnection, "finish_response", lambda connection, *args: racing(*args)
+            )
             stopping = asyncio.create_task(front_server.stop())
             await asyncio.sleep(0)
             proceed.set()
@@ -288,12 +292,12 @@
     async def test():
         async with run_server() as front_server:
             client, connection = await idle_connection(front_server)
-            assert not connection.gone
+            assert not connection.disconnected
             client.send(b"x")
-            assert not connection.gone
+            assert not connection.disconnected
             for _ in range(3):
                 await asyncio.sleep(0)
             client.close()  # without an iteration of the event loop
-            assert connection.gone
+            assert connection.disconnected
 
     run(test)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,66 +1,68 @@
-"""What servers report with their answers, where each of many routers has little traffic of its own."""
+"""Load reports in servers' responses, where each of many routers has little traffic of its own."""
 
 from conftest import FLEET, MS, READER_A, READER_B, WRITER_A, Harness, S, entry
 
 from hoplane.decision import interface as api
 from hoplane.decision.interface import Status
 
-TOLD = {"held_memory_field": "x0"}
+REPORT_SETTINGS = {"held_memory_field": "x0"}
 WRITERS = tuple(entry(200 + n, "writer") for n in range(6))
 
 
-def tell(harness, server, held):
-    harness.send_event(api.ProbeResult(server, Status.OK, MS, {"x0": held}))
+def report_memory(harness, server, memory_share):
+    harness.send_event(api.ProbeResult(server, Status.OK, MS, {"x0": memory_share}))
 
 
-def first_writers(harness, count=30):
-    """Give the writers that so many requests go to, one after the other."""
-    found = []
+def chosen_writers(harness, count=30):
+    """Return the writers that receive so many requests, one after the other."""
+    writers = []
     for number in range(count):
         harness.submit(f"w{number}")
         harness.outcome(Status.MISS, harness.sent()[0], f"w{number}")
-        found += harness.sent()
+        writers += harness.sent()
         harness.disconnect(f"w{number}")
-    return found
+    return writers
 
 
-def test_a_writer_that_tells_it_is_full_is_left_for_others_that_are_unknown_or_told_less():
-    harness = Harness(fleet=(FLEET[0], *WRITERS), **TOLD)
+def test_a_writer_that_reports_full_memory_is_avoided():
+    harness = Harness(fleet=(FLEET[0], *WRITERS), **REPORT_SETTINGS)
     for writer in range(200, 203):
-        tell(harness, writer, held=0.95)
-    tell(harness, 203, held=0.3)
-    sent = set(first_writers(harness))
+        report_memory(harness, writer, memory_share=0.95)
+    report_memory(harness, 203, memory_share=0.3)
+    sent = set(chosen_writers(harness))
     assert 203 in sent and not sent & {200, 201, 202}
 
 
-def test_what_was_told_of_memory_fades():
-    harness = Harness(fleet=(FLEET[0], *WRITERS), **TOLD)
-    tell(harness, 200, held=0.95)
-    tell(harness, 201, held=0.1)
+def test_a_memory_report_expires():
+    harness = Harness(fleet=(FLEET[0], *WRITERS), **REPORT_SETTINGS)
+    report_memory(harness, 200, memory_share=0.95)
+    report_memory(harness, 201, memory_share=0.1)
     harness.now += 6 * S
-    assert 200 in first_writers(harness, 60)
+    assert 200 in chosen_writers(harness, 60)
 
 
-def test_reports_come_with_the_end_of_any_attempt():
-    harness = Harness(**TOLD)
+def test_a_report_is_read_from_the_end_of_any_attempt():
+    harness = Harness(**REPORT_SETTINGS)
     harness.submit()
     reader = harness.sent()[0]
     harness.outcome(Status.MISS, reader, load={"x1": 7.5, "x0": 0.25})
     assert harness.router.servers[reader].reported_memory_share == 0.25
 
 
-def test_a_cold_readers_turn_comes_before_the_home_of_short_prompts_and_not_of_long_ones():
+def test_a_cold_reader_gets_short_prompts_before_the_cached_reader_but_not_long_ones():
     harness = Harness(fleet=(entry(READER_A, "reader"), entry(READER_B, "reader"), entry(WRITER_A, "writer")))
     harness.submit("first", session="p", prompt_tokens=4000)
-    home = harness.sent()[0]
-    harness.outcome(Status.MISS, home, "first", after=400 * MS)
+    cached_reader = harness.sent()[0]
+    harness.outcome(Status.MISS, cached_reader, "first", after=400 * MS)
     harness.disconnect("first")
-    cold = READER_A + READER_B - home
-    harness.send_event(api.ServerListUpdate((entry(cold, "reader", started_at=harness.now),), whole=False))
-    server = harness.router.servers[cold]
-    for prompt, wanted in ((4000, home), (500, cold)):
+    cold_reader = READER_A + READER_B - cached_reader
+    harness.send_event(
+        api.ServerListUpdate((entry(cold_reader, "reader", started_at=harness.now),), whole=False)
+    )
+    server = harness.router.servers[cold_reader]
+    for prompt, expected in ((4000, cached_reader), (500, cold_reader)):
         server.credit = 1.0
         harness.submit(f"p{prompt}", session="p", prompt_tokens=prompt)
-        assert harness.sent() == [wanted]
+        assert harness.sent() == [expected]
         harness.disconnect(f"p{prompt}")
-    assert server.credit < 1, "its turn is over"
+    assert server.credit < 1, "its credit is spent"
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -13,7 +13,7 @@
 from hoplane.decision import interface as api
 from hoplane.decision.router import Router
 from hoplane.fronts.platform import read_asked
-from hoplane.net.server import advice
+from hoplane.net.server import retry_after_headers
 
 HEADERS = {
     "X-Correlation-Id": "r1",
@@ -65,7 +65,7 @@
     effects += reduce(state, ev.timedelta(seconds=5), due)
     refused = [e for e in effects if isinstance(e, ev.Refuse)]
     assert refused and all((e.retry_after is not None) is allowed for e in refused)
-    assert bool(advice(refused[0].retry_after)) is allowed
+    assert bool(retry_after_headers(refused[0].retry_after)) is allowed
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -8,7 +8,7 @@
 import pytest
 from standins import SETTINGS, chat
 from test_operator import call, operator_address
-from test_platform import desk, hang, run
+from test_platform import hang, run, running_conductor
 from test_reducer import SETTINGS as CORE_SETTINGS
 from test_reducer import ReducerHarness
 
@@ -32,7 +32,7 @@
 def test_reload_adds_new_classes_and_drops_removed_ones(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
+        async with running_conductor(tmp_path, operator=address) as program:
             program.reload(settings=settings(lanes=[FRESH]))
             assert (await program.line("retuned"))["classes"] == ["fresh"]
             first, _, _ = await program.ask(chat(id="n1", cls="fresh"))
@@ -80,8 +80,8 @@
 def test_bad_files_are_rejected_logged_and_counted(tmp_path):
     async def test():
         address = operator_address()
-        async with desk(tmp_path, operator=address) as program:
-            files = list(bad_files(program.told))
+        async with running_conductor(tmp_path, operator=address) as program:
+            files = list(bad_files(program.config))
             for number, (text, key) in enumerate(files, 1):
                 program.reload(text)
                 error = (await program.line("reload_failed"))["error"]
@@ -121,11 +121,11 @@
 @pytest.mark.parametrize("reload_first", [True, False])
 def test_request_open_during_a_reload_keeps_its_deadline(tmp_path, reload_first):
     async def test():
-        async with desk(tmp_path, write=hang) as program:
+        async with running_conductor(tmp_path, write=hang) as program:
             reader, writer = await program.connect()
             writer.write(chat(id="open", left=900))
             await program.writer.wait_for("POST /v1/chat")
-            program.reload(settings=settings(lanes=[FRESH]) if reload_first else program.told["settings"])
+            program.reload(settings=settings(lanes=[FRESH]) if reload_first else program.config["settings"])
             await program.line("retuned")
             first = (await asyncio.wait_for(reader.readline(), 5)).decode()
             assert first.split()[1] in ("502", "503"), "its own deadline ends it"
