--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -137,7 +137,7 @@
         """
         try:
             new = self.load_config(self.config)
-            watch = self.watch.moved(new)
+            watch = self.watch.reconfigure(new)
         except TransientReadError as error:
             self.reload_later(error)
             return
@@ -181,7 +181,7 @@
         """Serve until a signal arrives, then finish the accepted requests."""
         stop = asyncio.Event()
         signals.on_shutdown_signal(stop.set)
-        await self.watch.first()
+        await self.watch.wait_until_ready()
         if not stop.is_set():
             await self.run(stop)
         signals.ignore_reload()
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -39,7 +39,7 @@
     def __str__(self) -> str:
         return self.address
 
-    def moved(self, config: Config) -> Discovery:
+    def reconfigure(self, config: Config) -> Discovery:
         """Return the watch for a new configuration.
 
         It requests the complete list, as another agent may number lists differently.
@@ -81,7 +81,7 @@
             successor = successor.successor
         return successor is not None
 
-    async def first(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait for the first response; if discovery is silent, the known list has to do.
 
         Otherwise requests would be served by a list as old as the previous process, although changes since
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -149,7 +149,7 @@
     def __str__(self) -> str:
         return ", ".join(path.name for path in self.paths)
 
-    def moved(self, config: Config) -> FileWatch:
+    def reconfigure(self, config: Config) -> FileWatch:
         """Return the watch for a new configuration, which inherits the lists reported so far.
 
         Raises a ConfigError if the new files are malformed."""
@@ -193,7 +193,7 @@
         self.reported = lists
         return None
 
-    async def first(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Return at once: the files were read at the start."""
 
     async def watch(self) -> None:
