--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -34,9 +34,9 @@
     from hoplane import xds
     from hoplane.fronts import kserve
 
-# While a file cannot be read.
+# Delay between attempts to read a file that cannot be read.
 REREAD_DELAY, MAX_REREAD_DELAY = timedelta(milliseconds=50), timedelta(seconds=1)
-# At startup, to read the configuration and to create the event loop, `REREAD_DELAY` apart.
+# Attempts at startup to read the configuration and to create the event loop, `REREAD_DELAY` apart.
 STARTUP_ATTEMPTS = 40
 GC_INTERVAL = timedelta(seconds=10)  # between garbage collections, which take 5 to 8 ms
 
--- a/hoplane/net/__init__.py
+++ b/hoplane/net/__init__.py
@@ -1,1 +1,1 @@
-"""The runtime: performs the reducer's effects on sockets and feeds back what comes of them."""
+"""Network layer: performs the reducer's effects on sockets and feeds the resulting events back to it."""
--- a/hoplane/net/aiohttp_internals.py
+++ b/hoplane/net/aiohttp_internals.py
@@ -26,16 +26,16 @@
 from hoplane.core.permits import Denial
 from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 
-MAX_HEAD_BYTES = 64 * 1024  # of a response's head, including all interim responses before it
+MAX_HEAD_BYTES = 64 * 1024  # for a response's head and all interim responses before it
 HEAD_TIMEOUT = timedelta(seconds=0.3)  # from a head's first byte to its end; endpoints write it in one piece
 MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
-# Without a complete request head. A client expects an error or a close within 3 s.
+# Closes a client connection without a complete request head; clients expect an error or a close within 3 s.
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=2.2)
 LINGER_TIMEOUT = timedelta(seconds=5)  # for a client to read an error and to stop sending
 STALE_LIMIT, STALE_WINDOW_S = 2, 5.0  # reused connections that broke, and the seconds within which they count
 # An unsolicited second response may arrive some milliseconds after the first.
 REUSE_DELAY = timedelta(milliseconds=20)
-KEEPALIVE_PAUSE_S, MAX_KEEPALIVE_PAUSE_S = 10.0, 80.0  # without keep-alive
+KEEPALIVE_PAUSE_S, MAX_KEEPALIVE_PAUSE_S = 10.0, 80.0  # time without keep-alive after breaks
 # A new connection's first request may still be on its way for this long.
 NEW_CONNECTION_GRACE = timedelta(seconds=0.3)
 
@@ -460,7 +460,7 @@
         )
         self.lingering: OrderedDict[ClientConnection, None] = OrderedDict()
         self.rejected: OrderedDict[RejectedConnection, None] = OrderedDict()
-        # For invariant violations.
+        # Called with each invariant violation.
         self.report_violation: Callable[[Violation], object] = lambda violation: None
         self.send_retry_after = True  # whether a refusal may include Retry-After
 
@@ -528,7 +528,7 @@
     except BlockingIOError:
         return None
     except OSError as error:
-        # Lack of memory says nothing about the connection; any other error means that it has ended.
+        # A lack of memory is no failure of the connection; any other error means that it has ended.
         return None if error.errno in RESOURCE_EXHAUSTED else b""
     finally:
         duplicate.detach()
--- a/hoplane/net/counters.py
+++ b/hoplane/net/counters.py
@@ -20,7 +20,7 @@
         return {**dict(sorted(self.items())), "cpu_ms": round(time.process_time() * 1000)}
 
     async def log_regularly(self) -> None:
-        """Log the counts regularly: one conductor's cost is small, only the sum over a fleet tells much."""
+        """Log the counts regularly: one conductor's cost is small, only a fleet's sum is significant."""
         while True:
             await asyncio.sleep(LOG_INTERVAL.total_seconds())
             log.write_event("tally", **self.log_fields())
--- a/hoplane/net/interface.py
+++ b/hoplane/net/interface.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HeadOutcome:
-    """What a response's head says: a stream follows (status None), or how the attempt ended."""
+    """What a response's head means: a stream follows (status None), or how the attempt ended."""
 
     status: Status | None
     detail: int = 0
--- a/hoplane/net/listener.py
+++ b/hoplane/net/listener.py
@@ -19,7 +19,7 @@
 BACKLOG = 512  # length of the accept queue
 # Delay before another attempt when system resources are exhausted, doubled up to the maximum.
 RETRY_DELAY, MAX_RETRY_DELAY = timedelta(milliseconds=2), timedelta(milliseconds=20)
-# For which a close keeps accepting queued connections while accept fails.
+# A close keeps accepting queued connections for this long while accept fails.
 CLOSE_TIMEOUT = timedelta(milliseconds=300)
 
 
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -27,7 +27,7 @@
 
 
 def is_local_failure(error: Exception) -> bool:
-    """Return whether a connection failed because of this machine, which says nothing about its endpoint."""
+    """Return whether a connection failed because of this machine rather than its endpoint."""
     return isinstance(error, aiohttp.ClientConnectorError) and error.os_error.errno in LOCAL_FAILURES
 
 
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -16,7 +16,7 @@
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Pool
 
-# Beyond the release time in the settings, before it counts as a violation.
+# A release later than the settings allow counts as a violation only beyond this.
 HELD_TOLERANCE = timedelta(milliseconds=300)
 
 
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -37,7 +37,7 @@
 PROBE_TIMEOUT = timedelta(milliseconds=300)
 # An endpoint that knows no read for the reservation answers after 0.3 s.
 RESERVATION_TIMEOUT = timedelta(seconds=1)
-# After a request's deadline; then it is answered even after an internal error.
+# A request is answered this long after its deadline even if an internal error lost its answer.
 OVERDUE_GRACE = timedelta(milliseconds=250)
 
 
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -23,18 +23,18 @@
 MAX_KILL_DELAY, KILL_MARGIN = timedelta(seconds=3), timedelta(seconds=0.7)
 # Fractions of the time until SIGKILL between which streams are broken off, if clients can resume them.
 BREAK_OFF_START, BREAK_OFF_END = 0.45, 0.92
-# To create the listening socket while system resources are exhausted.
+# Attempts to create the listening socket while system resources are exhausted.
 LISTEN_ATTEMPTS, LISTEN_RETRY_DELAY = 100, timedelta(milliseconds=20)
-# Of a client's deadline, for the response's way and a busy event loop.
+# Part of a client's deadline reserved for the response's way and a busy event loop.
 DEADLINE_MARGIN = timedelta(milliseconds=20)
 MIN_RETRY_AFTER = timedelta(milliseconds=200)  # least Retry-After of a refusal
 FLUSH_TIMEOUT = timedelta(seconds=2)  # for the last bytes to be sent
-# Until idle connections close in a drain: by then, new clients go elsewhere.
+# A drain closes idle connections after this; by then, new clients go elsewhere.
 DRAIN_IDLE_DELAY = timedelta(seconds=0.3)
 IDLE_SWEEP_INTERVAL = timedelta(milliseconds=50)  # between sweeps for idle connections while draining
 
-MAX_EVENT_BYTES = 64 * 1024  # of one event
-EVENT_LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)?:[^\n]*|\r?)\n)*")  # lines of events
+MAX_EVENT_BYTES = 64 * 1024
+EVENT_LINES = re.compile(rb"(?:(?:(?:data|event|id|retry)?:[^\n]*|\r?)\n)*")
 EVENT_TERMINATORS = (b"\n\n", b"\n\r\n")
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -158,7 +158,7 @@
         self.config, self.handler, self.error_response = config, handler, error_response
         self.bodies = MemoryBudget(config.limits.bodies)
         self.stopping = False
-        # Breaks off a fraction of the open requests.
+        # Called to break off a fraction of the open requests.
         self.break_off: Callable[[float], None] = lambda fraction: None
         self.draining_since: float | None = None  # when the drain began, in loop time
         self.drain_task: asyncio.Task | None = None
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -219,7 +219,7 @@
         host, port = self.address.split(":")
         return await asyncio.open_connection(host, int(port))
 
-    async def ask(self, data):
+    async def send_request(self, data):
         """Send raw bytes on a new connection and return the whole response."""
         reader, writer = await self.connect()
         writer.write(data)
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -97,7 +97,7 @@
     async def test():
         async with running_conductor(tmp_path) as program:
             await assert_all_rejected(program, b"/v1/chat/completions", [program.reader, program.writer])
-            assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
+            assert (await program.send_request(chat(id="good")))[0].split()[1] == "200"
             assert not await program.faults()
 
     run(test())
@@ -157,9 +157,9 @@
 
     async def test():
         async with running_conductor(tmp_path, write=write_after_resume) as program:
-            first = asyncio.ensure_future(program.ask(chat(id="duplicate")))
+            first = asyncio.ensure_future(program.send_request(chat(id="duplicate")))
             await program.writer.wait_for("POST /v1/chat")
-            assert (await program.ask(chat(id="duplicate")))[0].split()[1] == "409"
+            assert (await program.send_request(chat(id="duplicate")))[0].split()[1] == "409"
             resume.set()
             assert (await first)[0].split()[1] == "200" and len(program.writer.calls_to("POST /v1/chat")) == 1
 
@@ -184,7 +184,10 @@
                 if number == "after":
                     assert (await flood) == [b""] * 400
                 # Like usual clients, one that is rejected or disconnected by the flood retries.
-                while not (got := await program.ask(chat(id=f"r{number}"))) or got[0].split()[1] != "200":
+                while (
+                    not (got := await program.send_request(chat(id=f"r{number}")))
+                    or got[0].split()[1] != "200"
+                ):
                     assert not got or got[0].split()[1] == "503"
                     await asyncio.sleep(float(got[1].get("retry-after", 0.2)) if got else 0.2)
 
@@ -251,7 +254,7 @@
         async with Server(complete_read) as reader, ResettingServer(stream_response) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=longer_delay) as program:
-                assert (await program.ask(chat(cls="booking")))[0].split()[1] == "200"
+                assert (await program.send_request(chat(cls="booking")))[0].split()[1] == "200"
                 (call,) = writer.calls_to("POST /v1/chat")
                 assert not writer.resets_left and call[2] == BODY and call[1]["content-length"] == "15"
         (tmp_path / "v2").mkdir()
@@ -272,7 +275,7 @@
             Server(stream_response) as second,
             running_conductor(folder, write=malformed_writer(data)) as program,
         ):
-            booked = await program.ask(chat(cls="booking"))
+            booked = await program.send_request(chat(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
             assert len(program.writer.calls_to("POST /v1/chat")) == 1, "it may have run"
             assert await program.writer.closed.get(), "its connection is not reused"
@@ -280,7 +283,7 @@
             while (await program.line("endpoints"))["known"] != 3:
                 pass
             for number in range(4):  # safe requests are retried at the other writer if they meet the bad one
-                assert (await program.ask(chat(id=f"s{number}")))[0].split()[1] == "200", name
+                assert (await program.send_request(chat(id=f"s{number}")))[0].split()[1] == "200", name
             assert not await program.faults()
 
     async def test():
@@ -340,7 +343,7 @@
     async def test():
         async with running_conductor(tmp_path, write=interim_and_trailing_data) as program:
             for number in range(5):
-                first, _, body = await program.ask(chat(id=f"r{number}"))
+                first, _, body = await program.send_request(chat(id=f"r{number}"))
                 assert first.split()[1] == "200" and body.startswith(EVENT) and b"yours" not in body
 
     run(test())
@@ -374,6 +377,6 @@
     async def test():
         async with running_conductor(tmp_path, read=never_complete_read) as program:
             program.reader.respond = malformed_writer(b"\x80\x81\r\n\r\n")
-            assert (await program.ask(chat(left=2000)))[0].split()[1] == "503"
+            assert (await program.send_request(chat(left=2000)))[0].split()[1] == "503"
 
     run(test())
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -30,7 +30,7 @@
         entries = [entry("r1", to_reader.address, "prefill"), entry("w1", to_writer.address, "decode")]
         async with platform(tmp_path, entries, **options) as program:
             program.servers, program.paths = (reader, writer), (to_reader, to_writer)
-            assert (await program.ask(chat("warm")))[0].startswith("HTTP/1.1 200")
+            assert (await program.send_request(chat("warm")))[0].startswith("HTTP/1.1 200")
             await asyncio.sleep(0.1)
             yield program
 
@@ -54,7 +54,7 @@
 
 
 async def pass_the_deadline(program):
-    assert (await program.ask(chat("q", left=600)))[0].split()[1] in ("502", "503")
+    assert (await program.send_request(chat("q", left=600)))[0].split()[1] in ("502", "503")
 
 
 async def kill(program):
@@ -106,7 +106,7 @@
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries, first=first) as program:
                 malformed.set()
-                assert (await program.ask(chat("q")))[0].split()[1] in ("502", "503")
+                assert (await program.send_request(chat("q")))[0].split()[1] in ("502", "503")
                 updated = [
                     {**entries[0], "status": "Terminating"},
                     entries[1],
@@ -115,7 +115,7 @@
                 await program.discovery.publish(updated)
                 await asyncio.sleep(0.5)
                 before = len(reader.calls_to("POST /v1/chat"))
-                assert (await program.ask(chat("r")))[0].split()[1] == "200"
+                assert (await program.send_request(chat("r")))[0].split()[1] == "200"
                 assert len(reader.calls_to("POST /v1/chat")) == before, "the reader is draining"
                 assert await program.stop() == 0
 
@@ -138,7 +138,9 @@
             async with platform(tmp_path, entries, first=fault_setup) as program:
                 loop = asyncio.get_running_loop()
                 for stop in (False, True):
-                    requests = [asyncio.create_task(program.ask(chat(f"{stop}{n}"))) for n in range(5)]
+                    requests = [
+                        asyncio.create_task(program.send_request(chat(f"{stop}{n}"))) for n in range(5)
+                    ]
                     if stop:
                         await asyncio.sleep(0.05)
                         program.process.terminate()
--- a/tests/test_front_parity.py
+++ b/tests/test_front_parity.py
@@ -60,7 +60,7 @@
                 for cls, code in (("booking", booking), ("lookup", lookup)):
                     before = len(server.calls)
                     ask = chat("x", cls, 400) if front == "platform" else infer("x", cls, time_left_ms=400)
-                    first, headers, _ = await program.ask(ask)
+                    first, headers, _ = await program.send_request(ask)
                     assert int(first.split()[1]) == code
                     assert ("retry-after" in headers) == (code == 503), "a refusal has Retry-After"
                     if cls == "booking" and behaviour is not reject_unprocessed:
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -100,7 +100,7 @@
 
 
 async def status(program, data):
-    first, headers, body = await program.ask(data)
+    first, headers, body = await program.send_request(data)
     code = int(first.split()[1])
     assert code < 400 or code in (413,) or json.loads(body)["error"]
     if code == 503:
@@ -112,7 +112,7 @@
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
             data = infer(time_left_ms=3000, prompt_len=900)
-            first, headers, body = await program.ask(data)
+            first, headers, body = await program.send_request(data)
             assert first.split()[1] == "200" and body == ANSWER
             ((line, _, sent),) = server.calls
             assert line.startswith("POST /v2/models/desk/infer") and sent == data.partition(b"\r\n\r\n")[2]
@@ -124,7 +124,7 @@
 def test_the_health_and_model_calls(tmp_path):
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
-            assert json.loads((await program.ask(get("/v2")))[2])["name"] == "hoplane"
+            assert json.loads((await program.send_request(get("/v2")))[2])["name"] == "hoplane"
             for path in ("/v2/health/live", "/v2/health/ready", "/v2/models/desk/ready", "/v2/models/desk"):
                 assert await status(program, get(path)) == 200
             assert await status(program, get("/v2/models/other/ready")) == 404
@@ -132,7 +132,7 @@
             assert await status(program, infer(model="other")) == 404
             program.endpoints.write_text(assignment((server.address, "DRAINING")))
             await program.line("endpoints")
-            first, _, _ = await program.ask(get("/v2/models/desk/ready"))
+            first, _, _ = await program.send_request(get("/v2/models/desk/ready"))
             assert first.split()[1] == "503"
 
     run(test())
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -28,9 +28,9 @@
         address = operator_address()
         async with running_conductor(tmp_path, operator=address) as program:
             assert await call(address, b"HEALTH\n") == ["+OK ready"]
-            first, _, _ = await program.ask(chat(id="r1"))
+            first, _, _ = await program.send_request(chat(id="r1"))
             assert first.startswith("HTTP/1.1 200")
-            first, _, _ = await program.ask(chat(id="r2", cls="nothing"))
+            first, _, _ = await program.send_request(chat(id="r2", cls="nothing"))
             assert first.startswith("HTTP/1.1 400")
             answer = await call(address, b"DUMP\r\n")
             assert answer[-1] == "." and len(answer) == 2
@@ -42,11 +42,11 @@
             assert statistics["conf_loaded"] == 0 and statistics["conf_invalid"] == 0
             assert await call(address, b"LEAVE\n") == ["+OK leaving"]
             assert (await call(address, b"HEALTH\n"))[0].startswith("-ERR")
-            first, _, _ = await program.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+            first, _, _ = await program.send_request(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             assert not first.startswith("HTTP/1.1 200")
             assert await call(address, b"JOIN\n") == ["+OK joined"]
             assert await call(address, b"HEALTH\n") == ["+OK ready"]
-            first, _, _ = await program.ask(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+            first, _, _ = await program.send_request(b"GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
             assert first.startswith("HTTP/1.1 200")
             assert await call(address, b"what\n") == ["-ERR unknown call"]
             assert await program.stop() == 0
@@ -95,7 +95,7 @@
             assert await within(late[0].read(), 1) == b""
             assert program.process.returncode is None
             assert await call(address, b"JOIN\n") == ["+OK joined"]
-            first, _, _ = await program.ask(chat(id="again"))
+            first, _, _ = await program.send_request(chat(id="again"))
             assert first.startswith("HTTP/1.1 200")
             assert await program.stop() == 0
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -89,7 +89,7 @@
 def test_a_request_is_read_then_written_and_its_events_pass_unchanged(tmp_path):
     async def test():
         async with running_conductor(tmp_path, **reader_waiting_for_reservation()) as program:
-            first, headers, body = await program.ask(chat(body=b'{"stream": true,  "n":1}'))
+            first, headers, body = await program.send_request(chat(body=b'{"stream": true,  "n":1}'))
             assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
             for server in (program.reader, program.writer):
                 (call,) = server.calls_to("POST /v1/chat/completions")
@@ -147,8 +147,8 @@
         async with running_conductor(tmp_path) as program:
             extra_headers = b"Host: h\r\nidempotency-key: 20fb\r\nContent-Type: text/x"
             request = chat().replace(b"Host: h", extra_headers)
-            assert (await program.ask(request))[0].split()[1] == "200"
-            assert (await program.ask(chat(id="r2")))[0].split()[1] == "200"
+            assert (await program.send_request(request))[0].split()[1] == "200"
+            assert (await program.send_request(chat(id="r2")))[0].split()[1] == "200"
             for server in (program.reader, program.writer):
                 with_key, without = server.calls_to("POST /v1/chat/completions")
                 assert with_key[1]["idempotency-key"] == "20fb" and with_key[1]["content-type"] == "text/x"
@@ -178,8 +178,8 @@
 def test_a_malformed_request_is_refused_and_not_sent_to_an_endpoint(tmp_path, data, status):
     async def test():
         async with running_conductor(tmp_path) as program:
-            assert (await program.ask(data))[0].split()[1] == str(status)
-            assert (await program.ask(chat(id="good")))[0].split()[1] == "200"
+            assert (await program.send_request(data))[0].split()[1] == str(status)
+            assert (await program.send_request(chat(id="good")))[0].split()[1] == "200"
             assert len(program.reader.calls_to("POST")) == 1, "only the valid one reached a reader"
 
     run(test())
@@ -189,7 +189,7 @@
     async def test():
         async with running_conductor(tmp_path) as program:
             body = b'{"a":"' + b"x" * (262144 - 8) + b'"}'
-            assert (await program.ask(chat(body=body)))[0].split()[1] == "200"
+            assert (await program.send_request(chat(body=body)))[0].split()[1] == "200"
             assert program.writer.calls_to("POST /v1/chat")[0][2] == body
 
     run(test())
@@ -199,9 +199,9 @@
     async def test():
         async with running_conductor(tmp_path) as program:
             query = "?a=%7e%2F&b=+x"
-            assert (await program.ask(chat(query=query)))[0].split()[1] == "200"
+            assert (await program.send_request(chat(query=query)))[0].split()[1] == "200"
             absolute_url = chat(id="r2", query=query).replace(b"POST /", b"POST http://service.internal/")
-            assert (await program.ask(absolute_url))[0].split()[1] == "200"
+            assert (await program.send_request(absolute_url))[0].split()[1] == "200"
             for call in program.writer.calls_to("POST /v1/chat"):
                 assert call[0].split()[1] == "/v1/chat/completions" + query
             reader, writer = await program.connect()
@@ -228,7 +228,7 @@
                 assert (await within(read_message(reader)))[0].split()[1] == "100"
                 open_writers.append(writer)
             assert await within(idle.read()) == b""
-            first, headers, _ = await program.ask(chat(id="over"))
+            first, headers, _ = await program.send_request(chat(id="over"))
             assert first.split()[1] == "503" and headers["retry-after"] and headers["connection"] == "close"
 
     run(test())
@@ -271,7 +271,7 @@
         async with Server(fail_once) as second, running_conductor(tmp_path, write=fail_once) as program:
             await program.discovery.publish([*program.entries, entry("w2", second.address, "decode")])
             await program.line("endpoints")
-            assert (await program.ask(chat(cls=cls)))[0].split()[1] == status
+            assert (await program.send_request(chat(cls=cls)))[0].split()[1] == status
             chats = program.writer.calls_to("POST /v1/chat") + second.calls_to("POST /v1/chat")
             assert len(chats) == expected_calls
 
@@ -294,7 +294,7 @@
 def test_a_request_past_its_deadline_is_refused_and_released(tmp_path):
     async def test():
         async with running_conductor(tmp_path, read=never_complete_read) as program:
-            first, headers, _ = await program.ask(chat(left=300))
+            first, headers, _ = await program.send_request(chat(left=300))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             await program.reader.wait_for("DELETE /v1/holds/r1")
 
@@ -310,7 +310,7 @@
         async with platform(tmp_path, endpoints) as program:
             clock = asyncio.get_running_loop().time
             before = clock()
-            first, headers, _ = await program.ask(chat(left=9000))
+            first, headers, _ = await program.send_request(chat(left=9000))
             assert first.split()[1] == "503" and float(headers["retry-after"]) > 0
             assert clock() - before < 3, "long before its deadline"
 
@@ -327,7 +327,7 @@
             while (await program.line("endpoints"))["not_live"] != {"w1": "draining"}:
                 pass
             for number in range(6):
-                assert (await program.ask(chat(id=f"r{number}")))[0].split()[1] == "200"
+                assert (await program.send_request(chat(id=f"r{number}")))[0].split()[1] == "200"
             assert not program.writer.calls_to("POST") and len(second.calls_to("POST /v1/chat")) == 6
 
     run(test())
@@ -354,7 +354,7 @@
             await program.writer.wait_for("POST /v1/chat")
             program.process.terminate()
             await program.line("stopping")
-            late_response = await program.ask(message("GET /health/ready HTTP/1.1", Host="h"))
+            late_response = await program.send_request(message("GET /health/ready HTTP/1.1", Host="h"))
             assert late_response[0].split()[1] == "503" and late_response[1]["connection"] == "close"
             assert await within(idle_reader.read()) == b"", "an idle connection is closed"
             resume.set()
@@ -376,7 +376,7 @@
 def test_a_release_is_sent_to_another_endpoint_if_one_does_not_respond(tmp_path):
     async def test():
         async with running_conductor(tmp_path, read=hang) as program:
-            assert (await program.ask(chat(left=300)))[0].split()[1] == "503"
+            assert (await program.send_request(chat(left=300)))[0].split()[1] == "503"
             assert await program.writer.wait_for("DELETE /v1/holds/r1")
 
     run(test())
@@ -406,7 +406,7 @@
 def test_the_calls_made_for_a_request_are_counted(tmp_path):
     async def test():
         async with running_conductor(tmp_path, **reader_waiting_for_reservation()) as program:
-            await program.ask(chat())
+            await program.send_request(chat())
             await program.writer.wait_for("POST /v1/holds/r1")
             program.process.send_signal(signal.SIGTERM)
             counts = await program.line("stopped")
@@ -565,7 +565,7 @@
                 while (await program.line("endpoints"))["known"] != 2:
                     pass
                 old = len(program.discovery.calls)
-                assert (await program.ask(chat()))[0].split()[1] == "200"
+                assert (await program.send_request(chat()))[0].split()[1] == "200"
                 assert len(second.calls_to("POST /v1/chat")) == 1 and not program.writer.calls_to("POST")
                 await moved.wait_for("GET /registry/instances?since=1", 4)
                 assert len(program.discovery.calls) == old, "the old watch ended with its last call"
@@ -734,7 +734,9 @@
             await asyncio.sleep(0.35)  # until the connections are no longer exempt as new ones
             idle += [await program.connect() for _ in range(10)]
             for request in (message("GET /health/ready HTTP/1.1", Host="h"), chat()):
-                while (await program.ask(request))[0].split()[1] != "200":  # until the idle ones are found
+                while (await program.send_request(request))[0].split()[
+                    1
+                ] != "200":  # until the idle ones are found
                     await asyncio.sleep(0.05)
             program.discovery.respond = respond
             drained = {**program.entries[0], "status": "Terminating"}
@@ -781,7 +783,7 @@
         async with running_conductor(tmp_path, read=hang, limits=limits) as program:
             body = b'{"a":"' + b"x" * 262000 + b'"}'
             requests = [chat(id=f"r{n}", left=3000, body=body) for n in range(120)]
-            answers = await asyncio.gather(*map(program.ask, requests))
+            answers = await asyncio.gather(*map(program.send_request, requests))
             assert {first.split()[1] for first, _, _ in answers} == {"503"}
             assert sum(body == b"too much at once\n" for _, _, body in answers) >= 120 - 48
             with open(f"/proc/{program.process.pid}/status") as status:
@@ -823,7 +825,7 @@
             while (await program.line("endpoints"))["known"] < 3:
                 pass
             started_at = asyncio.get_running_loop().time()
-            assert (await program.ask(chat()))[0].split()[1] == "200"
+            assert (await program.send_request(chat()))[0].split()[1] == "200"
             assert asyncio.get_running_loop().time() - started_at < 1.8, (
                 "faster than for an overloaded endpoint"
             )
@@ -854,7 +856,7 @@
             await program.discovery.publish([*program.entries, entry("r2", r2.address, "prefill")])
             while (await program.line("endpoints"))["known"] < 3:
                 pass
-            assert (await program.ask(chat()))[0].split()[1] == "200"
+            assert (await program.send_request(chat()))[0].split()[1] == "200"
             cut_off, other = sorted(
                 (program.reader, r2), key=lambda r: not r.address.endswith(str(hanging_ports[0]))
             )
@@ -885,7 +887,7 @@
                 await program.discovery.publish([{**each, "status": "Terminating"} for each in listed[:600]])
                 assert len((await program.line("endpoints"))["not_live"]) == 600
                 for n in range(30):
-                    assert (await program.ask(chat(f"r{n}")))[0].split()[1] == "200"
+                    assert (await program.send_request(chat(f"r{n}")))[0].split()[1] == "200"
                 assert status(program, "VmHWM:") < 192 * 1024
                 assert len(list(Path(f"/proc/{program.process.pid}/fd").iterdir())) < 1024
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -252,7 +252,7 @@
                 entry("w1", writer.address, "decode"),
             ]
             async with platform(tmp_path, entries, settings={**SETTINGS, **long_timeouts}) as program:
-                response = asyncio.create_task(program.ask(chat(left=9000)))
+                response = asyncio.create_task(program.send_request(chat(left=9000)))
                 await asyncio.sleep(0.2)
                 await program.discovery.publish([{**entries[0], "status": "Terminating"}, entries[1]])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
@@ -305,7 +305,7 @@
         async with Server(read_and_stop) as reader, Server(full) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries) as program:
-                assert (await program.ask(chat(left=900)))[0].split()[1] == "503"
+                assert (await program.send_request(chat(left=900)))[0].split()[1] == "503"
                 assert await writer.wait_for("DELETE /v1/holds/r1")
                 await program.discovery.publish([{**each, "status": "Terminating"} for each in entries])
                 while not (logged := await program.line("endpoints"))["not_live"]:
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -35,9 +35,9 @@
         async with running_conductor(tmp_path, operator=address) as program:
             program.reload(settings=settings(lanes=[FRESH]))
             assert (await program.line("retuned"))["classes"] == ["fresh"]
-            first, _, _ = await program.ask(chat(id="n1", cls="fresh"))
+            first, _, _ = await program.send_request(chat(id="n1", cls="fresh"))
             assert first.startswith("HTTP/1.1 200")
-            first, _, _ = await program.ask(chat(id="n2", cls="lookup"))
+            first, _, _ = await program.send_request(chat(id="n2", cls="lookup"))
             assert first.startswith("HTTP/1.1 400")
             counts = await statistics(address)
             assert counts["conf_loaded"] == 1 and counts["conf_invalid"] == 0
@@ -87,7 +87,7 @@
                 error = (await program.line("reload_failed"))["error"]
                 assert key in error, (text[:80], error)
                 assert (await statistics(address))["conf_invalid"] == number
-            first, _, _ = await program.ask(chat(id="still"))
+            first, _, _ = await program.send_request(chat(id="still"))
             assert first.startswith("HTTP/1.1 200"), "the current settings stay"
             assert (await statistics(address))["conf_loaded"] == 0
             assert await program.stop() == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -33,10 +33,10 @@
                 running_conductor(tmp_path / "new", **options) as new,
             ):
                 for number in range(6):
-                    first, _, body = await old.ask(chat(id=f"r{number}"))
+                    first, _, body = await old.send_request(chat(id=f"r{number}"))
                     assert first.startswith("HTTP/1.1 200") and body == EVENT + USAGE + DONE
                 assert await old.stop() == 0
-                first, _, body = await new.ask(chat(id="after"))
+                first, _, body = await new.send_request(chat(id="after"))
                 assert first.startswith("HTTP/1.1 200")
                 assert await new.stop() == 0
 
@@ -97,7 +97,7 @@
                     answer = await call(new_operator, b"HEALTH\r\n")
                     assert answer == ["-ERR the process before is finishing"], answer
                     assert await within(idle[0].read(), 2) == b"", "the idle connection is closed"
-                    first, _, body = await new.ask(chat(id="meanwhile"))
+                    first, _, body = await new.send_request(chat(id="meanwhile"))
                     assert first.startswith("HTTP/1.1 200"), "the new process accepts new requests"
                     finish_stream.set()
                     first, headers, body = await within(read_message(streaming[0]))
