--- a/hoplane/lab/__init__.py
+++ b/hoplane/lab/__init__.py
@@ -1,1 +1,1 @@
-"""What the project emulates, breaks and measures: stand-ins, fault links, drills; see docs/lab.md."""
+"""Stand-ins, fault injection and benchmarks for development; see docs/lab.md."""
--- a/hoplane/lab/listener.py
+++ b/hoplane/lab/listener.py
@@ -1,4 +1,4 @@
-"""A server on a free loopback port, for the lab's stand-ins."""
+"""HTTP server on a free loopback port, the base of stand-ins and proxies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Listener:
-    """Serves every call by one handler, from `listen` to `unlisten`."""
+    """Passes every request to one handler, from `start_listening` to `stop_listening`."""
 
     port = 0
 
@@ -16,12 +16,14 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    async def listen(self, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]) -> None:
+    async def start_listening(
+        self, handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
+    ) -> None:
         self.runner = web.ServerRunner(web.Server(handler), access_log=None, shutdown_timeout=0.1)
         await self.runner.setup()
         site = web.TCPSite(self.runner, "127.0.0.1", 0)
         await site.start()
         self.port = site._server.sockets[0].getsockname()[1]
 
-    async def unlisten(self) -> None:
+    async def stop_listening(self) -> None:
         await self.runner.cleanup()
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 
-from hoplane.lab.store import Compare, NoLease, Put, Range, Store
+from hoplane.lab.key_value_store import Compare, KeyValueStore, Put, Range, UnknownLease
 from hoplane.lease.state_machine import (
     Acquired,
     CallFailed,
@@ -56,7 +56,7 @@
     During a span the member may act, or an action that it may have started is still running."""
 
     def __init__(self, terms, clock_rates, outages, machine_class=LeaseStateMachine):
-        self.store, self.outages, self.now_ms = Store(), outages, 0.0
+        self.store, self.outages, self.now_ms = KeyValueStore(), outages, 0.0
         self.members = [
             Member(machine_class(terms, seed), clock_rate) for seed, clock_rate in enumerate(clock_rates)
         ]
@@ -85,7 +85,7 @@
 
     def poll_watch(self, member_index, revision):
         """Simulate a watch, which reports the deletion of the key a little later."""
-        if any(change.deleted for change in self.store.since(revision, KEY)):
+        if any(change.deleted for change in self.store.changes_since(revision, KEY)):
             self.deliver(member_index, KeyDeleted())
         elif self.members[member_index].machine.phase.value == "waiting":
             self.schedule(20, lambda: self.poll_watch(member_index, revision))
@@ -142,7 +142,7 @@
             acquired, responses = self.store.txn(
                 now, key_absent, [Put(KEY, str(member_index).encode(), lease_id)], [Range(KEY)]
             )
-        except NoLease:
+        except UnknownLease:
             return CallFailed(effect.sent_at, lease_id)
         if acquired:
             return Acquired(effect.sent_at, lease_id, self.store.revision)
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from hoplane.lab import drill
+from hoplane.lab import lease_scenario
 from hoplane.lab.checker import Act, problems
-from hoplane.lab.schedule import Fault, Schedule, draw
+from hoplane.lab.schedule import Fault, Schedule, draw_schedule
 
-TTL = drill.TTL
+TTL = lease_scenario.TTL
 
 
-def holder_fault(at, length, kind, **settings):
-    return Fault(at, length, "holder", 0, {"kind": kind, "what": settings})
+def holder_fault(start, duration, kind, **settings):
+    return Fault(start, duration, "holder", 0, {"kind": kind, "what": settings})
 
 
 FIXED = {
@@ -40,7 +40,7 @@
         3,
         6.5,
         (holder_fault(1.5, 4.0, "link", drop_replies=1.0),),
-        (1 - drill.DRIFT, 1 + drill.DRIFT, 1.0),
+        (1 - lease_scenario.MAX_CLOCK_DRIFT, 1 + lease_scenario.MAX_CLOCK_DRIFT, 1.0),
         fenced=False,
     ),
     "actions delayed in the network past the lease": Schedule(
@@ -57,45 +57,47 @@
 
 @pytest.mark.parametrize("name", FIXED)
 def test_at_most_one_holder_acts_at_a_time(name):
-    found = drill.play(FIXED[name])
-    assert found.problems == []
-    assert len(found.tenures()) >= 2, "the fault ends a tenure, and another conductor takes over"
-    assert [line for line in found.events if line["event"] in ("loop_fault", "task_broke")] == []
+    result = lease_scenario.run_scenario(FIXED[name])
+    assert result.violations == []
+    assert len(result.tenures()) >= 2, "the fault ends a tenure, and another conductor takes over"
+    assert [line for line in result.events if line["event"] in ("loop_fault", "task_broke")] == []
 
 
 def test_without_etcd_leader_tasks_stop_and_requests_continue(tmp_path):
-    found = drill.play(Schedule("gone", 2, 6, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),)))
-    assert found.problems == []
-    acts = sorted(act.begun for act in found.acts)
-    longest_gap = max(b - a for a, b in zip(acts, acts[1:], strict=False))
+    result = lease_scenario.run_scenario(
+        Schedule("gone", 2, 6, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),))
+    )
+    assert result.violations == []
+    start_times = sorted(act.begun for act in result.actions)
+    longest_gap = max(b - a for a, b in zip(start_times, start_times[1:], strict=False))
     assert longest_gap > 1.5, "no action while etcd is unreachable"
-    lost = [line["reason"] for line in found.events if line["event"] == "lease_lost"]
+    lost = [line["reason"] for line in result.events if line["event"] == "lease_lost"]
     assert "not renewed in time" in lost
 
 
 def test_graceful_shutdown_of_the_holder_hands_the_lease_over_at_once():
     begun = time.monotonic()
-    found = drill.play(Schedule("order", 2, 3, ()))
-    assert found.problems == [] and time.monotonic() - begun < 15
-    lost = [line for line in found.events if line["event"] == "lease_lost"]
-    won = [line for line in found.events if line["event"] == "lease_won"]
+    result = lease_scenario.run_scenario(Schedule("order", 2, 3, ()))
+    assert result.violations == [] and time.monotonic() - begun < 15
+    lost = [line for line in result.events if line["event"] == "lease_lost"]
+    won = [line for line in result.events if line["event"] == "lease_won"]
     assert len(won) == len(lost) >= 1 and lost[0]["reason"] == "stopped"
 
 
-def act(who, token, begun, ended, resource="r"):
-    return Act(resource, who, token, begun, ended)
+def make_act(holder, token, begun, ended, resource="r"):
+    return Act(resource, holder, token, begun, ended)
 
 
 @pytest.mark.parametrize(
     ("acts", "everywhere", "count"),
     [
-        ([act("a", 1, 0, 2), act("b", 2, 2, 3)], True, 0),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3)], False, 1),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], False, 0),
-        ([act("a", 1, 0, 2), act("b", 2, 1, 3, "other")], True, 1),
-        ([act("a", 1, 0, 5), act("a", 1, 1, 2), act("b", 2, 3, 4)], False, 1),
-        ([act("b", 2, 0, 1), act("a", 1, 2, 3)], False, 1),
-        ([act("a", 1, 0, 2), act("a", 2, 1, 3)], False, 1),
+        ([make_act("a", 1, 0, 2), make_act("b", 2, 2, 3)], True, 0),
+        ([make_act("a", 1, 0, 2), make_act("b", 2, 1, 3)], False, 1),
+        ([make_act("a", 1, 0, 2), make_act("b", 2, 1, 3, "other")], False, 0),
+        ([make_act("a", 1, 0, 2), make_act("b", 2, 1, 3, "other")], True, 1),
+        ([make_act("a", 1, 0, 5), make_act("a", 1, 1, 2), make_act("b", 2, 3, 4)], False, 1),
+        ([make_act("b", 2, 0, 1), make_act("a", 1, 2, 3)], False, 1),
+        ([make_act("a", 1, 0, 2), make_act("a", 2, 1, 3)], False, 1),
     ],
 )
 def test_checker_finds_overlapping_actions_and_decreasing_tokens(acts, everywhere, count):
@@ -103,8 +105,8 @@
 
 
 def test_a_seed_draws_the_same_schedule_and_unfenced_schedules_have_only_faults_within_the_safety_margin():
-    assert draw(5, 4, TTL, 0.02) == draw(5, 4, TTL, 0.02) != draw(6, 4, TTL, 0.02)
+    assert draw_schedule(5, 4, TTL, 0.02) == draw_schedule(5, 4, TTL, 0.02) != draw_schedule(6, 4, TTL, 0.02)
     for seed in range(60):
-        for fault in draw(seed, 4, TTL, 0.02, fenced=False).faults:
-            kind = fault.what["kind"] if fault.kind == "holder" else fault.kind
-            assert kind in ("link", "kill", "engine") and fault.what.get("restart") != "lose_leases"
+        for fault in draw_schedule(seed, 4, TTL, 0.02, fenced=False).faults:
+            kind = fault.settings["kind"] if fault.kind == "holder" else fault.kind
+            assert kind in ("link", "kill", "engine") and fault.settings.get("restart") != "lose_leases"
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from lease_world import CountsFromReply, NoDriftMargin, Outage, World, copy_terms, ms
 
-from hoplane.lab.engine import Engine
-from hoplane.lab.store import Compacted, Compare, Delete, NoLease, Put, Store
+from hoplane.lab.etcd_stub import EtcdStub
+from hoplane.lab.key_value_store import Compare, Delete, KeyValueStore, Put, RevisionCompacted, UnknownLease
 from hoplane.lease.etcd import EtcdClient, EtcdUnavailable, LeaseNotFound
 from hoplane.lease.state_machine import (
     Acquired,
@@ -200,25 +200,28 @@
 
 
 def test_store_deletes_the_keys_of_a_lease_in_one_revision_and_compacts_history():
-    store = Store()
+    store = KeyValueStore()
     lease = store.grant(ms(0), ms(1000))
     store.txn(ms(0), [], [Put(b"a", b"1", lease), Put(b"b", b"2", lease)], [])
     assert store.revision == 2
     assert store.txn(ms(0), [Compare(b"a", "created", "=", 0)], [Put(b"a", b"x")], [])[0] is False
     store.expire(ms(1000))
     assert store.revision == 3 and not store.pairs
-    assert [(c.pair.key, c.deleted) for c in store.since(3, b"a", b"c")] == [(b"a", True), (b"b", True)]
+    assert [(c.pair.key, c.deleted) for c in store.changes_since(3, b"a", b"c")] == [
+        (b"a", True),
+        (b"b", True),
+    ]
     store.compact(2)
-    with pytest.raises(Compacted):
-        store.since(2, b"a")
-    with pytest.raises(NoLease):
+    with pytest.raises(RevisionCompacted):
+        store.changes_since(2, b"a")
+    with pytest.raises(UnknownLease):
         store.txn(ms(0), [], [Delete(b"a"), Put(b"a", b"1", lease)], [])
     assert store.revision == 3, "a rejected transaction changes nothing"
 
 
 def test_client_works_with_the_fake_etcd():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
             try:
                 lease = await etcd.grant(5)
@@ -248,7 +251,7 @@
 
 def test_watch_from_a_compacted_revision_returns_at_once_and_a_restart_breaks_a_watch():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
             try:
                 engine.store.txn(ms(0), [], [Put(b"k", b"1")], [])
@@ -257,7 +260,7 @@
                 await asyncio.wait_for(etcd.wait_deleted(b"k", 2), 2)
                 watch = asyncio.create_task(etcd.wait_deleted(b"k", 4))
                 await asyncio.sleep(0.1)
-                await engine.apply({"restart": "keep"})
+                await engine.apply_faults({"restart": "keep"})
                 with pytest.raises(EtcdUnavailable):
                     await asyncio.wait_for(watch, 2)
             finally:
@@ -268,8 +271,8 @@
 
 def test_client_fails_over_to_the_next_address():
     async def run_test():
-        async with Engine() as unresponsive, Engine() as healthy:
-            await unresponsive.apply({"pause_s": 5})
+        async with EtcdStub() as unresponsive, EtcdStub() as healthy:
+            await unresponsive.apply_faults({"pause_s": 5})
             etcd = EtcdClient([unresponsive.address, healthy.address], timedelta(milliseconds=100))
             try:
                 with pytest.raises(EtcdUnavailable):
@@ -283,7 +286,7 @@
 
 def test_fake_etcd_reports_errors_like_the_gateway():
     async def run_test():
-        async with Engine() as engine, aiohttp.ClientSession() as session:
+        async with EtcdStub() as engine, aiohttp.ClientSession() as session:
 
             async def post(path, body):
                 async with session.post(f"http://{engine.address}{path}", json=body) as response:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 from lease_world import ms
 
-from hoplane.lab.engine import Engine
-from hoplane.lab.store import Store
+from hoplane.lab.etcd_stub import EtcdStub
+from hoplane.lab.key_value_store import KeyValueStore
 from hoplane.lease.elector import monotonic_clock
 from hoplane.lease.etcd import EtcdClient
 from hoplane.lease.state_machine import LeaseTerms
@@ -58,7 +58,7 @@
 
     def __init__(self, clock_rates, join_times, outages, quota_class=Quota, seed=1, stalls=()):
         self.stalls, self.pending_sends = stalls, [deque() for _ in clock_rates]
-        self.store, self.rng, self.now_ms = Store(), random.Random(seed), 0
+        self.store, self.rng, self.now_ms = KeyValueStore(), random.Random(seed), 0
         self.clock_rates, self.join_times, self.outages = clock_rates, join_times, outages
         self.quotas = [quota_class(BUDGET) for _ in clock_rates]
         self.leases, self.granted = [0] * len(clock_rates), {}  # in etcd, by member: (lease, amount)
@@ -320,7 +320,7 @@
 
 def test_sync_shares_slices_counts_and_failures_and_releases_slices():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             (one, quota), (two, other) = member(engine, "one"), member(engine, "two")
             try:
                 await one.sync_once()
@@ -346,7 +346,7 @@
 
 def test_concurrent_increases_do_not_both_commit():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             pair = [member(engine, name) for name in ("one", "two")]
             try:
                 await asyncio.gather(*(sync.sync_once() for sync, _ in pair))
@@ -362,7 +362,7 @@
 
 def test_malformed_values_of_other_processes_are_ignored():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             sync, quota = member(engine, "one")
             try:
                 for at, value in enumerate((b"{", b"[]", b'{"slices": 3}', b'{"slices": {"cold/x": "y"}}')):
@@ -377,7 +377,7 @@
 
 def test_lost_lease_voids_slices_until_they_are_granted_again():
     async def run_test():
-        async with Engine() as engine:
+        async with EtcdStub() as engine:
             sync, quota = member(engine, "one")
             try:
                 await sync.sync_once()
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from hoplane.lab import fleet
-from hoplane.lab.fleet import KEEP_MS, TTL, Fleet, Schedule, play
+from hoplane.lab import fleet_scenario
+from hoplane.lab.fleet_scenario import EJECTION_MS, TTL, FleetScenario, Schedule, run_scenario
 from hoplane.lab.schedule import Fault
 
 SLOW = {"reply_ms": [150, 900], "request_ms": [0, 300]}
@@ -41,47 +41,51 @@
             Fault(1.5, 5, "link", 0, {"drop_replies": 1.0}),
             Fault(2.5, 2, "link", 1, {"drop_requests": 1.0}),
         ),
-        (1 - fleet.DRIFT, 1 + fleet.DRIFT, 1.0),
+        (1 - fleet_scenario.MAX_CLOCK_DRIFT, 1 + fleet_scenario.MAX_CLOCK_DRIFT, 1.0),
     ),
 }
 
 
 @pytest.mark.parametrize("name", FIXED)
 def test_budget_of_each_cold_endpoint_holds_and_counts_converge_after_recovery(name):
-    found = play(Fleet(FIXED[name]))
-    assert found.problems == []
-    assert max(found.most.values()) > found.bound / 3, "the budget is used"
+    result = run_scenario(FleetScenario(FIXED[name]))
+    assert result.violations == []
+    assert max(result.max_sends.values()) > result.budget / 3, "the budget is used"
     killed = sum(fault.kind == "kill" for fault in FIXED[name].faults)
-    assert len(found.totals) == FIXED[name].conductors
-    assert all(total == found.totals[0] for total in found.totals), "all conductors report the same counts"
+    assert len(result.fleet_counts) == FIXED[name].conductor_count
+    assert all(total == result.fleet_counts[0] for total in result.fleet_counts), (
+        "all conductors report the same counts"
+    )
     if not killed:
         expected = {}
-        for counts in found.mine:
+        for counts in result.own_counts:
             expected = {key: expected.get(key, 0) + count for key, count in counts.items()}
-        assert found.totals[0] == expected, "the counts are the sum of what each conductor counted"
-    assert [line for line in found.events if line["event"] in ("loop_fault", "task_broke")] == []
+        assert result.fleet_counts[0] == expected, "the counts are the sum of what each conductor counted"
+    assert [line for line in result.events if line["event"] in ("loop_fault", "task_broke")] == []
 
 
 def test_failing_endpoint_is_ejected_fleet_wide_for_a_limited_time():
-    drill = Fleet(Schedule("fail", 4, 9, ()), per_second=20, warm=3, cold=0)
-    drill.failing = (1.5, 3.5)
-    found = play(drill)
-    assert found.problems == []
-    avoided = {line["who"] for line in found.events if line["event"] == "endpoint_avoided"}
+    scenario = FleetScenario(Schedule("fail", 4, 9, ()), per_second=20, warm_count=3, cold_count=0)
+    scenario.failure_period = (1.5, 3.5)
+    result = run_scenario(scenario)
+    assert result.violations == []
+    avoided = {line["who"] for line in result.events if line["event"] == "endpoint_avoided"}
     assert avoided == {"c0", "c1", "c2", "c3"}, "also conductors that observed no failure themselves"
-    send_times = [at - found.begun for at, _ in found.sends["r0"]]
-    during = sum(2.0 < at < 3.5 for at in send_times)
-    baseline = sum(0.2 < at < 1.4 for at in send_times) / 1.2 * 1.5
+    send_times = [timestamp - result.started_at for timestamp, _ in result.received_requests["r0"]]
+    during = sum(2.0 < timestamp < 3.5 for timestamp in send_times)
+    baseline = sum(0.2 < timestamp < 1.4 for timestamp in send_times) / 1.2 * 1.5
     assert during < baseline / 3, "half a second later hardly any request is sent to it"
-    returned_at = min(at for at in send_times if at > 3.5 + 0.3)
-    assert returned_at < 3.5 + KEEP_MS / 1000 + TTL + 8, "requests return within the time limit"
-    welcome = [line for line in found.events if line["event"] == "endpoint_welcome"]
+    returned_at = min(timestamp for timestamp in send_times if timestamp > 3.5 + 0.3)
+    assert returned_at < 3.5 + EJECTION_MS / 1000 + TTL + 8, "requests return within the time limit"
+    welcome = [line for line in result.events if line["event"] == "endpoint_welcome"]
     assert welcome
 
 
 def test_without_etcd_each_conductor_stays_within_its_floor_and_requests_continue():
-    found = play(Fleet(Schedule("gone", 2, 7, (Fault(0.0, 7, "engine", 0, {"pause_s": 7}),)), per_second=30))
-    assert found.problems == []
-    floor = fleet.BOUND * 0.3 / 2
-    assert 1 <= max(found.most.values()) <= 2 * floor
-    assert found.statuses.get(200, 0) > 0.9 * sum(found.statuses.values())
+    result = run_scenario(
+        FleetScenario(Schedule("gone", 2, 7, (Fault(0.0, 7, "engine", 0, {"pause_s": 7}),)), per_second=30)
+    )
+    assert result.violations == []
+    floor = fleet_scenario.COLD_BUDGET * 0.3 / 2
+    assert 1 <= max(result.max_sends.values()) <= 2 * floor
+    assert result.status_counts.get(200, 0) > 0.9 * sum(result.status_counts.values())
