--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -250,7 +250,7 @@
 REQUEST_FIELDS = {
     "session": ("thread", get_text),
     "prefix": ("prefix", get_text),
-    "prefix_len": ("shared_len", get_integer),
+    "prefix_tokens": ("shared_len", get_integer),
     "hint": ("estimate", get_ticks),
     "tenant": ("party", get_text),
     "retry": ("repeat", get_flag),
--- a/hoplane/decision/cached_tokens.py
+++ b/hoplane/decision/cached_tokens.py
@@ -15,7 +15,7 @@
 
     A router knows only the turns and prefixes that it has sent itself. Readers also cache what other routers
     sent, or what this one sent before its restart, so that counting all unknown tokens as unread gives two to
-    three times too many. The correction is kept per kind of evidence, as a prefix that nobody has read yet is
+    three times too many. There is a correction per kind of evidence, as a prefix that nobody has read yet is
     read in full.
 
     If `pessimistic`, all tokens that are not known to be cached count as unread. That is right where a
@@ -54,11 +54,11 @@
     def remaining_tokens(job: Job, evidence: CacheEvidence) -> int:
         """Return the tokens of a prompt that are not cached according to the evidence."""
         same_reader, prefix_cached, _, _ = evidence
-        prefix_tokens = job.request.prefix_len if prefix_cached else 0
+        cached_prefix_tokens = job.request.prefix_tokens if prefix_cached else 0
         return max(
             0,
             job.request.prompt_tokens
-            - max(prefix_tokens, job.session_record.read_tokens if same_reader else 0),
+            - max(cached_prefix_tokens, job.session_record.read_tokens if same_reader else 0),
         )
 
     def unread_tokens(self, job: Job, server: Server) -> int:
--- a/hoplane/lab/__main__.py
+++ b/hoplane/lab/__main__.py
@@ -16,7 +16,7 @@
 from . import faults, lease_benchmark, lease_scenario, schedule, shared_benchmark, soak
 from .etcd_stub import EtcdStub
 from .faulty_proxy import FaultyProxy
-from .soak_oracle import Problem
+from .soak_oracle import Violation
 
 DEFAULT_JOBS = max(1, (os.cpu_count() or 2) // 3)  # concurrent drills; each runs about five processes
 
@@ -117,9 +117,9 @@
 def run_soak(seed: int, conductors: int | None) -> soak.Outcome:
     """Run one soak test. One that does not end is reported as a violation."""
     try:
-        return soak.play(seed, conductors)
+        return soak.run_soak(seed, conductors)
     except TimeoutError:
-        return soak.Outcome(seed, conductors or 0, problems=[Problem("hang", "the soak test did not end")])
+        return soak.Outcome(seed, conductors or 0, problems=[Violation("hang", "the soak test did not end")])
 
 
 @lab.command("soak")
@@ -168,7 +168,7 @@
         raise click.UsageError(str(error)) from None
     from hoplane.conductor import main
 
-    signals.note()
+    signals.install_early_handlers()
     raise SystemExit(main(list(arguments)))
 
 
--- a/hoplane/lab/fenced_resource.py
+++ b/hoplane/lab/fenced_resource.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from .checker import Act
+from .checker import Action
 from .listener import Listener
 
 
@@ -21,7 +21,7 @@
     def __init__(self, name: str, action_seconds: float, fenced: bool) -> None:
         self.name, self.action_seconds, self.fenced = name, action_seconds, fenced
         self.highest_token = self.rejected_actions = 0
-        self.actions: list[Act] = []
+        self.actions: list[Action] = []
         # Time and proxy name (`X-Through`) of each inference request.
         self.received_requests: list[tuple[float, str]] = []
         self.failing = False
@@ -72,7 +72,7 @@
             self.in_flight[token] = self.in_flight.get(token, 0) + 1
         started_at = time.monotonic()
         await asyncio.sleep(self.action_seconds)
-        self.actions.append(Act(self.name, holder, token, started_at, time.monotonic()))
+        self.actions.append(Action(self.name, holder, token, started_at, time.monotonic()))
         async with self.state_changed:
             self.in_flight[token] -= 1
             if not self.in_flight[token]:
--- a/hoplane/lab/lease_benchmark.py
+++ b/hoplane/lab/lease_benchmark.py
@@ -78,7 +78,7 @@
                 holder.send_signal(signal_number)
                 if not await wait_until(lambda t=token: resource.actions[-1].token > t, NEW_HOLDER_TIMEOUT):
                     raise TimeoutError("no new lease holder")
-                started_at = next(act.begun for act in resource.actions if act.token > token)
+                started_at = next(action.started for action in resource.actions if action.token > token)
                 latencies.record_value(max(1, round((started_at - ended) * 1e6)))
                 await holder.process.wait()
                 await holder.start()
--- a/hoplane/lab/lease_scenario.py
+++ b/hoplane/lab/lease_scenario.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from .checker import Act, problems
+from .checker import Action, find_violations
 from .etcd_stub import EtcdStub
 from .faulty_proxy import FaultyProxy
 from .fenced_resource import FencedResource
@@ -47,14 +47,16 @@
     """Result of a run: recorded actions, violations, and the events from the conductors' logs."""
 
     schedule: Schedule
-    actions: list[Act]
+    actions: list[Action]
     violations: list[str]
     rejected_actions: int  # actions that resources rejected for a stale token
     events: list[dict] = field(default_factory=list)
 
     def tenures(self) -> list[int]:
         """Return the tokens of all actions, in order of use."""
-        return list(dict.fromkeys(act.token for act in sorted(self.actions, key=lambda act: act.begun)))
+        return list(
+            dict.fromkeys(action.token for action in sorted(self.actions, key=lambda action: action.started))
+        )
 
 
 def loopback_address(conductor_index: int) -> str:
@@ -255,8 +257,8 @@
                     if each.process.returncode is None:
                         each.send_signal(signal.SIGKILL)
                         await each.process.wait()
-            actions = [act for each in resources for act in each.actions]
-            violations = problems(actions, everywhere=not schedule.fenced)
+            actions = [action for each in resources for action in each.actions]
+            violations = find_violations(actions, across_resources=not schedule.fenced)
             violations += [
                 f"c{conductor_index} exited with status {s}"
                 for conductor_index, s in enumerate(exit_statuses)
