--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -23,7 +23,7 @@
 from hoplane.core.transient_errors import RESOURCE_EXHAUSTED
 from hoplane.decision.interface import State
 from hoplane.fronts import platform
-from hoplane.fronts.operator import Operator
+from hoplane.fronts.operator import OperatorServer
 from hoplane.net import signals
 from hoplane.net.discovery import Discovery
 from hoplane.net.handover import Handover
@@ -52,7 +52,7 @@
         self.front, self.watch = self.create_kserve() if config.files else self.create_platform()
         self.watch_task = asyncio.create_task(self.watch.watch())
         server = self.front.server
-        self.operator = config.operator and Operator(
+        self.operator = config.operator and OperatorServer(
             config.operator, self.not_ready_reason, self.statistics, server.start_drain, server.cancel_drain
         )
         shared = config.inherited is not None and config.scratch is not None
@@ -107,10 +107,10 @@
         """Create the platform's front and its discovery."""
         config = self.config
         path = platform.probe_path(config.settings)
-        runtime = Runtime(config, self.pool, path, platform.hold_path, platform.read_load)
+        runtime = Runtime(config, self.pool, path, platform.reservation_path, platform.parse_load_report)
         address = "{}:{}".format(*config.discovery)
         pacing = Pacing(config.settings, random.Random(config.seed))
-        watch = Discovery(self.pool, address, platform.read_list, runtime.feed, pacing)
+        watch = Discovery(self.pool, address, platform.parse_endpoint_list, runtime.feed, pacing)
         if config.known.get("endpoints"):
             try:
                 watch.process_response({**config.known, "snapshot": True})
@@ -151,7 +151,7 @@
         self.front.server.resize(new.limits)
         self.pool.max_sockets = new.limits.upstreams
         self.pool.set_discovery(new.discovery)
-        self.front.retune(new.settings)
+        self.front.apply_settings(new.settings)
         known = (*configuration.RELOADABLE_FIELDS, *configuration.IGNORED_FIELDS)
         needs_restart = [
             name
--- a/hoplane/fronts/__init__.py
+++ b/hoplane/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The fronts: each turns a wire's requests into the core's events and its effects into answers."""
+"""Protocol fronts. Each translates requests into the core's events, and the core's effects into responses."""
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -1,4 +1,4 @@
-"""The KServe v2 inference protocol over REST: for clients that speak it and endpoints that do."""
+"""Front for the KServe v2 inference protocol over REST, towards clients and endpoints alike."""
 
 from __future__ import annotations
 
@@ -22,23 +22,26 @@
 from hoplane.net.runtime import Runtime
 from hoplane.net.server import DEADLINE_MARGIN, Server, request_target, retry_after_headers
 
-MODEL = re.compile(r"/v2/models/([^/]+)(?:/versions/[^/]+)?(/ready|/infer)?")
-LIVE = "/v2/health/live"
-JSON_SIZE = "Inference-Header-Content-Length"  # how much of a body is JSON, where tensors follow in binary
-KEPT_HEADERS = ("Content-Type", JSON_SIZE)
-NOT_RUN = "X-Unprocessed"  # as on the platform; v2 itself has no word for it
-PASSED = range(400, 500)  # the endpoint's own word on the request, which another would repeat
-NOT_PASSED = (408, 429)
-ASK_WAIT = timedelta(seconds=1)
-KEY_MOST = 256
-LONGEST = timedelta(hours=1)
-
-
-def problem(status: int, text: str, pause: timedelta | None = None, close: bool = False) -> web.Response:
-    """Give an error as v2 words it."""
+MODEL_PATH = re.compile(r"/v2/models/([^/]+)(?:/versions/[^/]+)?(/ready|/infer)?")
+LIVENESS_PATH = "/v2/health/live"
+JSON_LENGTH_HEADER = "Inference-Header-Content-Length"  # bytes of JSON in a body, if binary tensors follow it
+FORWARDED_HEADERS = ("Content-Type", JSON_LENGTH_HEADER)
+UNPROCESSED_HEADER = "X-Unprocessed"  # as in the platform protocol; v2 itself defines no such header
+# Errors of the request itself, which any other endpoint would return too, except for the transient ones.
+REQUEST_ERROR_STATUSES = range(400, 500)
+TRANSIENT_STATUSES = (408, 429)
+METADATA_TIMEOUT = timedelta(seconds=1)
+MAX_KEY_LENGTH = 256
+MAX_TIME_LEFT = timedelta(hours=1)
+
+
+def error_response(
+    status: int, text: str, retry_after: timedelta | None = None, close: bool = False
+) -> web.Response:
+    """Return an error response in the v2 format."""
     response = web.Response(
         status=status,
-        headers=retry_after_headers(pause),
+        headers=retry_after_headers(retry_after),
         body=orjson.dumps({"error": text}),
         content_type="application/json",
     )
@@ -47,78 +50,82 @@
     return response
 
 
-def answer(value: object, status: int = 200) -> web.Response:
-    """Give an answer in JSON."""
+def json_response(value: object, status: int = 200) -> web.Response:
+    """Return a JSON response."""
     return web.Response(status=status, body=orjson.dumps(value), content_type="application/json")
 
 
-def json_part(headers: Mapping[str, str], body: bytes) -> object:
-    """Give the JSON of a body that may go on in binary; a ValueError says what is wrong."""
-    size = headers.get(JSON_SIZE, str(len(body)))
-    if not (size.isascii() and size.isdecimal()) or int(size) > len(body):
-        raise ValueError(f"{JSON_SIZE}: must be at most the body's length")
-    read = orjson.loads(body[: int(size)])
-    if not isinstance(read, dict):
+def parse_json_part(headers: Mapping[str, str], body: bytes) -> object:
+    """Parse the JSON part of a body, which binary data may follow. Raises ValueError if it is malformed."""
+    json_length = headers.get(JSON_LENGTH_HEADER, str(len(body)))
+    if not (json_length.isascii() and json_length.isdecimal()) or int(json_length) > len(body):
+        raise ValueError(f"{JSON_LENGTH_HEADER}: must be at most the body's length")
+    document = orjson.loads(body[: int(json_length)])
+    if not isinstance(document, dict):
         raise ValueError("the body must be a JSON object")
-    return read
+    return document
 
 
-def fact(told: dict, name: str, kind: type, default: object) -> object:
-    """Give one of the request's parameters, checked."""
-    value = told.get(name, default)
+def get_parameter(parameters: dict, name: str, kind: type, default: object) -> object:
+    """Return a parameter of the request. Raises ValueError if its type or range is wrong."""
+    value = parameters.get(name, default)
     if value is default:
         return default
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise ValueError(f"parameters.{name}: must be of the type {kind.__name__}")
-    if kind is str and len(value) > KEY_MOST:  # guards the module's tables, which keep them for minutes
-        raise ValueError(f"parameters.{name}: is at most {KEY_MOST} characters")
+    if kind is str and len(value) > MAX_KEY_LENGTH:  # bounds the router's tables, which hold keys for minutes
+        raise ValueError(f"parameters.{name}: is at most {MAX_KEY_LENGTH} characters")
     if kind is int and not 0 <= value < 10**9:
         raise ValueError(f"parameters.{name}: is out of range")
     return value
 
 
-def read_asked(number: str, read: dict, size: int, classes: Mapping[str, ClassSettings]) -> RequestReceived:
-    """Translate an inference request; its parameters carry what the core needs to know."""
-    told = read.get("parameters", {})
-    if not isinstance(told, dict):
+def parse_request(
+    request_id: str, document: dict, body_size: int, classes: Mapping[str, ClassSettings]
+) -> RequestReceived:
+    """Parse an inference request. Its `parameters` carry the fields that the core needs."""
+    parameters = document.get("parameters", {})
+    if not isinstance(parameters, dict):
         raise ValueError("parameters: must be an object")
-    if not isinstance(read.get("inputs"), list):
+    if not isinstance(document.get("inputs"), list):
         raise ValueError("inputs: must be a list")
-    name = fact(told, "service_class", str, next(iter(classes)))
-    if name not in classes:
+    class_name = get_parameter(parameters, "service_class", str, next(iter(classes)))
+    if class_name not in classes:
         raise ValueError("parameters.service_class: is not a class of this service")
-    cls, id = classes[name], read.get("id")
+    cls, id = classes[class_name], document.get("id")
     if id is not None and (not isinstance(id, str) or not 0 < len(id) <= 256):
         raise ValueError("id: must be a text of 1 to 256 characters")
     if id is None and cls.effect is not Effect.SAFE:
-        raise ValueError(f"id: is needed, as requests of the class {name} must not run twice")
-    patience = timedelta(milliseconds=fact(told, "time_left_ms", int, cls.deadline // 1_000_000))
+        raise ValueError(f"id: is needed, as requests of the class {class_name} must not run twice")
+    time_left = timedelta(
+        milliseconds=get_parameter(parameters, "time_left_ms", int, cls.deadline // 1_000_000)
+    )
     return RequestReceived(
-        number,
-        name,
-        fact(told, "prompt_len", int, size // 4),
-        fact(told, "max_out", int, 256),
-        max(timedelta(), min(patience, LONGEST) - DEADLINE_MARGIN),
-        fact(told, "session", str, None),
-        fact(told, "prefix", str, None),
-        fact(told, "prefix_len", int, 0),
+        request_id,
+        class_name,
+        get_parameter(parameters, "prompt_len", int, body_size // 4),
+        get_parameter(parameters, "max_out", int, 256),
+        max(timedelta(), min(time_left, MAX_TIME_LEFT) - DEADLINE_MARGIN),
+        get_parameter(parameters, "session", str, None),
+        get_parameter(parameters, "prefix", str, None),
+        get_parameter(parameters, "prefix_len", int, 0),
         None,
-        fact(told, "repeat", bool, False),
+        get_parameter(parameters, "repeat", bool, False),
         idempotency_key=None if cls.effect is Effect.SAFE else id,
     )
 
 
-def read_head(status: int, headers: Mapping[str, str]) -> HeadOutcome:
-    """Tell what an endpoint's answer means; what is not known for sure may have run."""
-    if headers.get(NOT_RUN) == "1":
+def classify_response(status: int, headers: Mapping[str, str]) -> HeadOutcome:
+    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    if headers.get(UNPROCESSED_HEADER) == "1":
         return HeadOutcome(Status.FULL)
-    if status == 200 or (status in PASSED and status not in NOT_PASSED):
+    if status == 200 or (status in REQUEST_ERROR_STATUSES and status not in TRANSIENT_STATUSES):
         return HeadOutcome(None)
     return HeadOutcome(Status.ERROR)
 
 
-class WholeSink:
-    """Passes an answer on once it is whole."""
+class BufferedSink:
+    """Sink that passes a response on once it is complete."""
 
     buffered = True
 
@@ -127,9 +134,9 @@
         self.status, self.headers, self.data = 200, {}, b""
 
     def is_complete(self, data: bytes) -> bool:
-        """Tell whether an answer is all there: one that ends with its connection tells no length."""
+        """Return whether a response is complete; one that ends with its connection's close has no length."""
         try:
-            json_part(self.headers, data)
+            parse_json_part(self.headers, data)
         except ValueError:
             return False
         return True
@@ -141,154 +148,160 @@
         self.data = data
 
     async def finish(self) -> None:
-        self.settle(web.Response(status=self.status, headers=self.headers, body=self.data))
+        self.set_response(web.Response(status=self.status, headers=self.headers, body=self.data))
 
     def abort(self) -> None:
-        self.settle(problem(502, "the answer broke off"))
+        self.set_response(error_response(502, "the answer broke off"))
 
-    def settle(self, response: web.Response) -> None:
+    def set_response(self, response: web.Response) -> None:
         if not self.done.done():
             self.done.set_result(response)
 
 
 class Exchange:
-    """One client's request on this front."""
+    """A client's request over the v2 protocol."""
 
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received, self.body, self.path = received, body, request_target(request)
-        self.headers = {name: request.headers[name] for name in KEPT_HEADERS if name in request.headers}
-        self.sink, self.caller = WholeSink(), request.protocol
+        self.headers = {name: request.headers[name] for name in FORWARDED_HEADERS if name in request.headers}
+        self.sink, self.connection = BufferedSink(), request.protocol
 
     @property
     def disconnected(self) -> bool:
-        return self.caller.disconnected
+        return self.connection.disconnected
 
     def call(self, forward: Forward) -> Call:
         return Call("POST", self.path, self.headers, self.body)
 
-    def time_headers(self, left: timedelta) -> Mapping[str, str]:
+    def time_headers(self, remaining: timedelta) -> Mapping[str, str]:
         return {}
 
     def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
         self.sink.status = status
-        self.sink.headers = {name: headers[name] for name in KEPT_HEADERS if name in headers}
-        return read_head(status, headers)
+        self.sink.headers = {name: headers[name] for name in FORWARDED_HEADERS if name in headers}
+        return classify_response(status, headers)
 
     def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
-        return self.received.prefix_tokens, {}  # v2 endpoints do not tell what they found kept
+        return self.received.prefix_tokens, {}  # v2 endpoints do not report cached tokens
 
-    def refuse(self, pause: timedelta | None) -> None:
-        self.sink.settle(problem(503, "refused: try again later", pause))
+    def refuse(self, retry_after: timedelta | None) -> None:
+        self.sink.set_response(error_response(503, "refused: try again later", retry_after))
 
-    def fail(self, clash: bool) -> None:
-        text = "this id is running or may have run" if clash else "failed: it may have run, or time is over"
-        self.sink.settle(problem(409 if clash else 502, text))
+    def fail(self, duplicate: bool) -> None:
+        text = (
+            "this id is running or may have run" if duplicate else "failed: it may have run, or time is over"
+        )
+        self.sink.set_response(error_response(409 if duplicate else 502, text))
 
 
 class KServe:
-    """The front for v2 clients: one conductor for each model, which is a cluster of that name."""
+    """Front for v2 clients. Each model has its own conductor and is the cluster of the same name."""
 
     def __init__(self, config: Config, pool: Pool) -> None:
         self.config, self.pool = config, pool
         self.classes = {cls.name: cls for cls in config.settings.classes}
-        self.server = Server(config, self.handle, problem)
+        self.server = Server(config, self.handle, error_response)
         self.server.http_server.report_violation = self.report_violation
         self.models: dict[str, Runtime] = {}
-        self.numbers = count(1)
+        self.request_numbers = count(1)
 
     def report_violation(self, violation: Violation) -> None:
-        """Count what should never happen to a client's connection, which belongs to no model."""
+        """Record a violation on a client's connection. It belongs to no model, so the first one counts it."""
         for runtime in self.runtimes[:1]:
             runtime.report_violation(violation)
 
-    def retune(self, settings: Settings) -> None:
-        """Take requests of the new classes from now on; those taken keep their rules."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings to requests that arrive from now on; earlier ones keep the old settings."""
         self.classes = {cls.name: cls for cls in settings.classes}
         self.config = replace(self.config, settings=settings)
         for runtime in self.runtimes:
             runtime.feed(SettingsReloaded(settings))
 
-    def feed(self, name: str, listed: EndpointsUpdated) -> None:
-        """Take a cluster's list; a cluster seen for the first time is a new model."""
+    def feed(self, name: str, update: EndpointsUpdated) -> None:
+        """Apply an update of a cluster's endpoints; a cluster seen for the first time is a new model."""
         if name not in self.models:
-            self.models[name] = Runtime(self.config, self.pool, LIVE)
-        self.models[name].feed(listed)
+            self.models[name] = Runtime(self.config, self.pool, LIVENESS_PATH)
+        self.models[name].feed(update)
 
     @property
-    def later(self) -> timedelta | None:
-        """Give what a refusal of the front's own tells its client, None where the settings allow nothing."""
+    def refusal_retry_after(self) -> timedelta | None:
+        """Retry-After of the front's own refusals; None if the settings do not allow it."""
         return timedelta(seconds=1) if self.config.settings.retry_after else None
 
     @property
     def runtimes(self) -> list[Runtime]:
-        """Give the conductors."""
+        """The runtimes of all models."""
         return list(self.models.values())
 
     @staticmethod
-    def ready(runtime: Runtime) -> bool:
-        """Tell whether some endpoint may answer."""
+    def is_ready(runtime: Runtime) -> bool:
+        """Return whether a live endpoint can generate responses."""
         roles = {kind.name: kind.role for kind in runtime.config.settings.kinds}
-        fleet = runtime.state.fleet.values()
-        return any(e.state is State.LIVE and roles[e.kind] is not Role.READ for e in fleet)
+        endpoints = runtime.state.fleet.values()
+        return any(
+            endpoint.state is State.LIVE and roles[endpoint.kind] is not Role.READ for endpoint in endpoints
+        )
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request."""
-        path, found = request.path, MODEL.fullmatch(request.path)
-        infer = found is not None and found[2] == "/infer"
-        if found is None and path not in ("/v2", "/v2/", LIVE, "/v2/health/ready"):
-            return problem(404, "unknown path", close=True)
+        """Handle one request."""
+        path, match = request.path, MODEL_PATH.fullmatch(request.path)
+        infer = match is not None and match[2] == "/infer"
+        if match is None and path not in ("/v2", "/v2/", LIVENESS_PATH, "/v2/health/ready"):
+            return error_response(404, "unknown path", close=True)
         if request.method != ("POST" if infer else "GET"):
-            return problem(405, "only POST" if infer else "only GET", close=True)
-        if found is None:
-            return self.about(path)
-        runtime = self.models.get(found[1])
+            return error_response(405, "only POST" if infer else "only GET", close=True)
+        if match is None:
+            return self.server_info(path)
+        runtime = self.models.get(match[1])
         if runtime is None:
-            return problem(404, f"unknown model {found[1]}")
-        if found[2] == "/ready":
-            ready = self.ready(runtime)
-            return answer({"name": found[1], "ready": ready}, 200 if ready else 503)
+            return error_response(404, f"unknown model {match[1]}")
+        if match[2] == "/ready":
+            ready = self.is_ready(runtime)
+            return json_response({"name": match[1], "ready": ready}, 200 if ready else 503)
         if not infer:
             return await self.metadata(runtime, request_target(request))
         body_size = self.server.body_size(request)
         if not self.server.bodies.reserve(body_size):
-            return problem(503, "too much at once", self.later, close=True)
+            return error_response(503, "too much at once", self.refusal_retry_after, close=True)
         try:
             return await self.infer(runtime, request)
         finally:
             self.server.bodies.release(body_size)
 
-    def about(self, path: str) -> web.Response:
-        """Tell of the server as a whole."""
+    def server_info(self, path: str) -> web.Response:
+        """Answer a liveness, readiness or metadata call about the whole server."""
         if path.endswith("/live"):
-            return answer({"live": True})
+            return json_response({"live": True})
         if path.endswith("/ready"):
-            ready = self.server.ready and any(map(self.ready, self.models.values()))
-            return answer({"ready": ready}, 200 if ready else 503)
-        return answer({"name": "hoplane", "version": __version__, "extensions": ["binary_tensor_data"]})
+            ready = self.server.ready and any(map(self.is_ready, self.models.values()))
+            return json_response({"ready": ready}, 200 if ready else 503)
+        return json_response(
+            {"name": "hoplane", "version": __version__, "extensions": ["binary_tensor_data"]}
+        )
 
     async def metadata(self, runtime: Runtime, path: str) -> web.Response:
-        """Pass on what an endpoint tells of the model."""
+        """Relay the model's metadata from the first endpoint that answers."""
         for endpoint in list(runtime.state.fleet.values()):
             if endpoint.state is not State.LIVE:
                 continue
-            if got := await self.pool.get(endpoint.address, path, ASK_WAIT):
-                return web.Response(status=got[0], body=got[1], content_type="application/json")
-        return problem(503, "no endpoint tells of this model", self.later)
+            if response := await self.pool.get(endpoint.address, path, METADATA_TIMEOUT):
+                return web.Response(status=response[0], body=response[1], content_type="application/json")
+        return error_response(503, "no endpoint tells of this model", self.refusal_retry_after)
 
     async def infer(self, runtime: Runtime, request: web.BaseRequest) -> web.StreamResponse:
-        """Take a request in and wait for its final answer."""
+        """Accept an inference request and wait for its final answer."""
         body = await self.server.read(request)
         if isinstance(body, web.Response):
-            return problem(body.status, body.text.strip(), close=True)
+            return error_response(body.status, body.text.strip(), close=True)
         try:
-            read = json_part(request.headers, body)
-            asked = read_asked(str(next(self.numbers)), read, len(body), self.classes)
+            document = parse_json_part(request.headers, body)
+            received = parse_request(str(next(self.request_numbers)), document, len(body), self.classes)
         except ValueError as error:
-            return problem(400, str(error), close=True)
+            return error_response(400, str(error), close=True)
         if len(runtime.exchanges) >= self.config.max_open:
-            return problem(503, "too much at once", self.later, close=True)
+            return error_response(503, "too much at once", self.refusal_retry_after, close=True)
         if denial := self.server.may_start():
-            log.write_event_limited("request_denied", request=asked.id, reason=denial.value)
-            return problem(503, "the server is stopping", self.later, close=True)
-        exchange = Exchange(request, asked, body)
+            log.write_event_limited("request_denied", request=received.id, reason=denial.value)
+            return error_response(503, "the server is stopping", self.refusal_retry_after, close=True)
+        exchange = Exchange(request, received, body)
         return await runtime.serve(exchange, exchange.sink.done)
--- a/hoplane/fronts/operator.py
+++ b/hoplane/fronts/operator.py
@@ -1,15 +1,18 @@
-"""The operator address: one line a connection, answered with a line that begins `+OK` or `-ERR`.
+"""Operator interface: a line protocol over TCP with one call per connection.
+
+Each call is answered with a line that starts with `+OK` or `-ERR`.
 
 | call | answer |
 | --- | --- |
-| `HEALTH` | `+OK ready` while this process serves new clients, else `-ERR` and why not |
-| `DUMP` | the figures as one JSON line, and a line `.` |
-| `LEAVE` | `+OK leaving`: the conductor empties itself, see `net/server.py` |
-| `JOIN` | `+OK joined`: it takes clients again |
+| `HEALTH` | `+OK ready` while this process accepts new clients, else `-ERR` and the reason |
+| `DUMP` | the statistics as one JSON line, then a line `.` |
+| `LEAVE` | `+OK leaving`: the conductor starts a drain, see `net/server.py` |
+| `JOIN` | `+OK joined`: the drain is cancelled |
 
-Guards against callers that hold a connection without a whole line, or send without end: each connection has
-`WAIT` for its line and `LINE_MOST` bytes, then gets `-ERR` and a close; beyond `OPEN_MOST` connections the
-oldest is closed. Nothing here waits on a request or an endpoint: an answer comes at the loop's next turn."""
+Clients that send no complete line, or send without end, cannot exhaust resources: a connection that exceeds
+`LINE_TIMEOUT` or `MAX_LINE_BYTES` gets `-ERR` and is closed, and beyond `MAX_CONNECTIONS` the oldest
+connection is closed. No call waits for a request or an endpoint; it is answered in the next iteration of the
+event loop."""
 
 from __future__ import annotations
 
@@ -23,107 +26,115 @@
 from hoplane import log
 from hoplane.net.aiohttp_internals import bound_socket
 
-WAIT = timedelta(seconds=0.8)  # for a whole line: an answer is owed within 1 s
-LINE_MOST = 256
-OPEN_MOST = 32
+LINE_TIMEOUT = timedelta(seconds=0.8)  # to receive a line; below the 1 s within which calls must be answered
+MAX_LINE_BYTES = 256
+MAX_CONNECTIONS = 32
 
 
-class Operator:
-    """Answers the operator's calls from what the conductor tells."""
+class OperatorServer:
+    """Serves operator calls through callbacks of the conductor."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        ready: Callable[[], str | None],
-        figures: Callable[[], dict],
-        leave: Callable[[], None],
-        join: Callable[[], None],
+        not_ready_reason: Callable[[], str | None],
+        collect_statistics: Callable[[], dict],
+        start_drain: Callable[[], None],
+        cancel_drain: Callable[[], None],
     ) -> None:
-        self.address, self.ready, self.figures, self.leave, self.join = address, ready, figures, leave, join
-        self.open: OrderedDict[Line, None] = OrderedDict()
+        (
+            self.address,
+            self.not_ready_reason,
+            self.collect_statistics,
+            self.start_drain,
+            self.cancel_drain,
+        ) = address, not_ready_reason, collect_statistics, start_drain, cancel_drain
+        self.connections: OrderedDict[OperatorConnection, None] = OrderedDict()
         self.listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        made = bound_socket(*self.address)
-        self.listener = await asyncio.get_running_loop().create_server(lambda: Line(self), sock=made)
-        made.listen(OPEN_MOST)
+        listening_socket = bound_socket(*self.address)
+        self.listener = await asyncio.get_running_loop().create_server(
+            lambda: OperatorConnection(self), sock=listening_socket
+        )
+        listening_socket.listen(MAX_CONNECTIONS)
 
     def stop(self) -> None:
         if self.listener is not None:
             self.listener.close()
-        for line in list(self.open):
-            line.end()
-
-    def answer(self, call: bytes) -> bytes:
-        """Give the answer to one call, with its line ends, which are CRLF as the calls' are."""
-        word = call.strip().upper()
-        if word == b"HEALTH":
-            why = self.ready()
-            return b"+OK ready\r\n" if why is None else f"-ERR {why}\r\n".encode()
-        if word == b"DUMP":
-            # The figures stand alone before the line `.`: a reader takes what is above it for JSON.
-            return orjson.dumps(self.figures()) + b"\r\n.\r\n"
-        if word == b"LEAVE":
-            self.leave()
+        for connection in list(self.connections):
+            connection.close()
+
+    def respond(self, call: bytes) -> bytes:
+        """Return the response to one call. Its lines end with CRLF, as in calls."""
+        command = call.strip().upper()
+        if command == b"HEALTH":
+            reason = self.not_ready_reason()
+            return b"+OK ready\r\n" if reason is None else f"-ERR {reason}\r\n".encode()
+        if command == b"DUMP":
+            # The line `.` terminates the response; clients parse everything before it as JSON.
+            return orjson.dumps(self.collect_statistics()) + b"\r\n.\r\n"
+        if command == b"LEAVE":
+            self.start_drain()
             log.write_event("operator", call="LEAVE")
             return b"+OK leaving\r\n"
-        if word == b"JOIN":
-            self.join()
+        if command == b"JOIN":
+            self.cancel_drain()
             log.write_event("operator", call="JOIN")
             return b"+OK joined\r\n"
         return b"-ERR unknown call\r\n"
 
 
-class Line(asyncio.Protocol):
-    """One operator's connection, for one call."""
+class OperatorConnection(asyncio.Protocol):
+    """A connection to the operator interface, for one call."""
 
-    def __init__(self, front: Operator) -> None:
-        self.front, self.data = front, b""
+    def __init__(self, server: OperatorServer) -> None:
+        self.server, self.buffer = server, b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(WAIT.total_seconds(), self.reply, b"-ERR no whole line\r\n")
-        self.front.open[self] = None
-        if len(self.front.open) > OPEN_MOST:
-            next(iter(self.front.open)).end()
+        self.timer = loop.call_later(LINE_TIMEOUT.total_seconds(), self.reply, b"-ERR no whole line\r\n")
+        self.server.connections[self] = None
+        if len(self.server.connections) > MAX_CONNECTIONS:
+            next(iter(self.server.connections)).close()
 
     def data_received(self, data: bytes) -> None:
         if self.transport is None:
             return
-        self.data += data
-        line, sign, _ = self.data.partition(b"\n")
-        if sign:
+        self.buffer += data
+        line, separator, _ = self.buffer.partition(b"\n")
+        if separator:
             try:
-                answer = self.front.answer(line)
-            except Exception as error:  # guards the loop: a fault of ours is told, not left to wait
+                response = self.server.respond(line)
+            except Exception as error:  # an internal error is answered at once, not by the timeout
                 log.write_event("operator_broke", error=repr(error))
-                answer = b"-ERR a fault of the conductor\r\n"
-            self.reply(answer)
-        elif len(self.data) > LINE_MOST:
+                response = b"-ERR a fault of the conductor\r\n"
+            self.reply(response)
+        elif len(self.buffer) > MAX_LINE_BYTES:
             self.reply(b"-ERR the line is too long\r\n")
 
     def eof_received(self) -> bool:
-        """Take a call without its line end as whole once its sender has ended its sending."""
-        if self.transport is not None and self.data.strip():
+        """Accept a call without a line end if the client has closed its sending side."""
+        if self.transport is not None and self.buffer.strip():
             self.data_received(b"\n")
         return True
 
-    def reply(self, answer: bytes) -> None:
+    def reply(self, response: bytes) -> None:
         if self.transport is not None:
-            self.transport.write(answer)
-            self.end()
+            self.transport.write(response)
+            self.close()
 
-    def end(self) -> None:
-        """Close once what is written has gone."""
+    def close(self) -> None:
+        """Close the connection once all written data is sent."""
         self.timer.cancel()
         if self.transport is not None:
             self.transport.close()
             self.transport = None
-        self.front.open.pop(self, None)
+        self.server.connections.pop(self, None)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.timer.cancel()
         self.transport = None
-        self.front.open.pop(self, None)
+        self.server.connections.pop(self, None)
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -1,4 +1,4 @@
-"""The platform's protocol: HTTP/1.1 with headers for facts and streams of events for answers."""
+"""Front for the platform's protocol: HTTP/1.1 with metadata in headers, and responses as SSE streams."""
 
 from __future__ import annotations
 
@@ -38,110 +38,113 @@
     retry_after_headers,
 )
 
-CHAT, READY = "/v1/chat/completions", "/health/ready"
-LIVE, STATS = "/health/live", "/stats"  # at endpoints
-ID, CLASS, SESSION = "X-Correlation-Id", "X-Service-Class", "X-Session-Key"
-ACCOUNT = "X-Account"  # the tenant, where the settings name any
-LEFT_MS, FACTS, REPEAT = "X-Time-Left-Ms", "X-Facts", "X-Repeat"
-LOAD, NOT_RUN = "X-Backend-Load", "X-Unprocessed"
-PASSED = ("Content-Type", "Idempotency-Key")  # an endpoint knows by the latter what it need not run again
-STATES = {"Ready": State.LIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
-ID_FORM = re.compile(r"[A-Za-z0-9_.:-]{1,128}")
-KEY_MOST = 256
-CACHED = re.compile(rb'"cached_tokens"\s*:\s*(\d{1,9})')
-LOAD_LINE = re.compile(rb"^: ?" + LOAD.encode() + rb": ?([^\r\n]*)", re.MULTILINE | re.IGNORECASE)
-
-
-def hold_path(id: str) -> str:
-    """Give the path of the calls that hold a place and release what is held."""
+CHAT_PATH, READINESS_PATH = "/v1/chat/completions", "/health/ready"
+LIVENESS_PATH, STATS_PATH = "/health/live", "/stats"  # at endpoints
+ID_HEADER, CLASS_HEADER, SESSION_HEADER = "X-Correlation-Id", "X-Service-Class", "X-Session-Key"
+TENANT_HEADER = "X-Account"  # the tenant, if the settings list tenants
+TIME_LEFT_HEADER, FACTS_HEADER, REPEAT_HEADER = "X-Time-Left-Ms", "X-Facts", "X-Repeat"
+LOAD_HEADER, UNPROCESSED_HEADER = "X-Backend-Load", "X-Unprocessed"
+FORWARDED_HEADERS = ("Content-Type", "Idempotency-Key")  # endpoints discard duplicates by the latter
+STATES_BY_STATUS = {"Ready": State.LIVE, "Terminating": State.DRAINING, "Gone": State.GONE}
+ID_PATTERN = re.compile(r"[A-Za-z0-9_.:-]{1,128}")
+MAX_KEY_LENGTH = 256
+CACHED_TOKENS_PATTERN = re.compile(rb'"cached_tokens"\s*:\s*(\d{1,9})')
+LOAD_REPORT_PATTERN = re.compile(
+    rb"^: ?" + LOAD_HEADER.encode() + rb": ?([^\r\n]*)", re.MULTILINE | re.IGNORECASE
+)
+
+
+def reservation_path(id: str) -> str:
+    """Return the path of the calls that make and release a reservation."""
     return f"/v1/holds/{id}"
 
 
 def probe_path(settings: Settings) -> str:
-    """Give the path of a probe: the one that tells the load, where there are reports."""
-    return STATS if settings.waiting_tokens_field else LIVE
+    """Return the path of a health probe: the one that reports load, if load reports are in use."""
+    return STATS_PATH if settings.waiting_tokens_field else LIVENESS_PATH
 
 
-def read_list(answer: dict) -> EndpointsUpdated:
-    """Translate discovery's list. An entry that cannot be read is told in the log and changes nothing.
+def parse_endpoint_list(document: dict) -> EndpointsUpdated:
+    """Parse discovery's endpoint list. A malformed entry is logged and its endpoint stays as it was.
 
-    Guards against one bad entry that would hide all others, a drain among them."""
-    entries = answer.get("endpoints")
+    One malformed entry must not discard the others, which may contain a drain."""
+    entries = document.get("endpoints")
     if not isinstance(entries, list):
         raise ValueError("the list is malformed: endpoints must be a list")
-    endpoints, unread = [], []
-    for at, each in enumerate(entries):
+    endpoints, unreadable = [], []
+    for index, entry in enumerate(entries):
         try:
-            endpoints.append(read_entry(each))
+            endpoints.append(parse_endpoint(entry))
         except (AttributeError, ConfigError, KeyError, TypeError, ValueError, OverflowError) as error:
-            name = each.get("name") if isinstance(each, dict) else None
-            unread.append(str(name))
-            log.write_event_limited("list_entry_bad", entry=at, endpoint=name, error=repr(error))
-    return EndpointsUpdated(tuple(endpoints), bool(answer.get("snapshot")), tuple(unread))
+            name = entry.get("name") if isinstance(entry, dict) else None
+            unreadable.append(str(name))
+            log.write_event_limited("list_entry_bad", entry=index, endpoint=name, error=repr(error))
+    return EndpointsUpdated(tuple(endpoints), bool(document.get("snapshot")), tuple(unreadable))
 
 
-def read_entry(each: dict) -> Endpoint:
-    """Translate an entry of the list; a status that the protocol does not name gets nothing new."""
-    status = get_text(each, "status")
-    if status not in STATES:
+def parse_endpoint(entry: dict) -> Endpoint:
+    """Parse an entry of the list. An endpoint with an unknown status gets no new requests: it drains."""
+    status = get_text(entry, "status")
+    if status not in STATES_BY_STATUS:
         log.write_event_limited(
-            "list_entry_bad", endpoint=each["name"], error=f"status {status!r} is not known: drains"
+            "list_entry_bad", endpoint=entry["name"], error=f"status {status!r} is not known: drains"
         )
     return Endpoint(
-        get_text(each, "name"),
-        get_text(each, "address"),
-        get_text(each, "zone"),
-        get_text(each, "type"),
-        int(each["group"]),
-        STATES.get(status, State.DRAINING),
-        float(each.get("weight", 1.0)),
-        timedelta(milliseconds=each.get("since_ms", 0)),
+        get_text(entry, "name"),
+        get_text(entry, "address"),
+        get_text(entry, "zone"),
+        get_text(entry, "type"),
+        int(entry["group"]),
+        STATES_BY_STATUS.get(status, State.DRAINING),
+        float(entry.get("weight", 1.0)),
+        timedelta(milliseconds=entry.get("since_ms", 0)),
     )
 
 
-def read_load(text: str | bytes) -> dict[str, float]:
-    """Translate a load report; what is no figure is left out."""
+def parse_load_report(text: str | bytes) -> dict[str, float]:
+    """Parse a load report; values that are not finite numbers are skipped."""
     load = {}
     for pair in (text if isinstance(text, str) else text.decode("latin-1")).split(","):
         name, _, value = pair.strip().partition("=")
         with suppress(ValueError):
-            if isfinite(figure := float(value)):
-                load[name] = figure
+            if isfinite(number := float(value)):
+                load[name] = number
     return load
 
 
-def read_asked(
+def parse_request(
     headers: Mapping[str, str], classes: Mapping[str, object], tenants: Container[str] = ()
 ) -> RequestReceived:
-    """Translate a request's headers; a ValueError names what is wrong.
+    """Parse a request's headers. Raises ValueError if one is missing or malformed.
 
-    A tenant that the settings do not name counts as none: it is served, within nobody's share."""
-    id, cls = headers.get(ID, ""), headers.get(CLASS, "")
-    if not ID_FORM.fullmatch(id):
-        raise ValueError(f"{ID}: is missing or malformed")
+    A request of a tenant that the settings do not list is served, but counts against no tenant's share."""
+    id, cls = headers.get(ID_HEADER, ""), headers.get(CLASS_HEADER, "")
+    if not ID_PATTERN.fullmatch(id):
+        raise ValueError(f"{ID_HEADER}: is missing or malformed")
     if cls not in classes:
-        raise ValueError(f"{CLASS}: is not a class of this service")
-    left = headers.get(LEFT_MS, "")
-    if not (left.isascii() and left.isdecimal()) or len(left) > 9:
-        raise ValueError(f"{LEFT_MS}: must be whole milliseconds")
-    pairs = (pair.strip().partition("=") for pair in headers.get(FACTS, "").split(","))
+        raise ValueError(f"{CLASS_HEADER}: is not a class of this service")
+    time_left_ms = headers.get(TIME_LEFT_HEADER, "")
+    if not (time_left_ms.isascii() and time_left_ms.isdecimal()) or len(time_left_ms) > 9:
+        raise ValueError(f"{TIME_LEFT_HEADER}: must be whole milliseconds")
+    pairs = (pair.strip().partition("=") for pair in headers.get(FACTS_HEADER, "").split(","))
     facts = {name: value for name, _, value in pairs if name}
     lengths = {}
     for name in ("prompt_len", "prefix_len", "max_out"):
         value = facts.get(name, "0" if name == "prefix_len" else "")
         if not (value.isascii() and value.isdecimal()) or len(value) > 9:
-            raise ValueError(f"{FACTS}: {name} must be a whole number")
+            raise ValueError(f"{FACTS_HEADER}: {name} must be a whole number")
         lengths[name] = int(value)
-    session, prefix = headers.get(SESSION, ""), facts.get("prefix", "")
-    if max(len(session), len(prefix)) > KEY_MOST:  # guards the module's tables, which keep them for minutes
-        raise ValueError(f"{SESSION} and prefix: are at most {KEY_MOST} characters")
-    repeat, tenant = headers.get(REPEAT), headers.get(ACCOUNT)
+    session, prefix = headers.get(SESSION_HEADER, ""), facts.get("prefix", "")
+    # Bounds the router's tables, which hold keys for minutes.
+    if max(len(session), len(prefix)) > MAX_KEY_LENGTH:
+        raise ValueError(f"{SESSION_HEADER} and prefix: are at most {MAX_KEY_LENGTH} characters")
+    repeat, tenant = headers.get(REPEAT_HEADER), headers.get(TENANT_HEADER)
     return RequestReceived(
         id,
         cls,
         lengths["prompt_len"],
         lengths["max_out"],
-        max(timedelta(), timedelta(milliseconds=int(left)) - DEADLINE_MARGIN),
+        max(timedelta(), timedelta(milliseconds=int(time_left_ms)) - DEADLINE_MARGIN),
         session or None,
         prefix or None,
         lengths["prefix_len"],
@@ -151,33 +154,35 @@
     )
 
 
-def read_head(status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
-    """Tell what an endpoint's answer means; what is not known for sure may have run."""
-    load = read_load(headers.get(LOAD, ""))
-    unprocessed = headers.get(NOT_RUN) == "1"
+def classify_response(status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
+    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    load = parse_load_report(headers.get(LOAD_HEADER, ""))
+    unprocessed = headers.get(UNPROCESSED_HEADER) == "1"
     if status == 200:
         return HeadOutcome(None, 0, load)
     if status == 202:
-        return HeadOutcome(Status.MISS, cached(body), load)
+        return HeadOutcome(Status.MISS, parse_cached_tokens(body), load)
     if unprocessed and status in (410, 503, 504):
         return HeadOutcome(Status.FULL, int(status == 410), load)
     return HeadOutcome(Status.ERROR, 0, load)
 
 
-def cached(data: bytes) -> int:
-    """Give how many tokens were found kept, as told last."""
-    found = CACHED.findall(data)
-    return int(found[-1]) if found else 0
+def parse_cached_tokens(data: bytes) -> int:
+    """Return the last reported number of cached tokens, 0 if there is none."""
+    matches = CACHED_TOKENS_PATTERN.findall(data)
+    return int(matches[-1]) if matches else 0
 
 
 class Exchange:
-    """One client's request on this front."""
+    """A client's request over the platform's protocol."""
 
     def __init__(self, request: web.BaseRequest, received: RequestReceived, body: bytes) -> None:
         self.received, self.body = received, body
         self.method, self.path = request.method, request_target(request)
         self.headers = {"Content-Type": "application/json"}
-        self.headers.update({name: request.headers[name] for name in PASSED if name in request.headers})
+        self.headers.update(
+            {name: request.headers[name] for name in FORWARDED_HEADERS if name in request.headers}
+        )
         self.done: asyncio.Future = asyncio.get_running_loop().create_future()
         response = AbortableResponse(
             headers={"Content-Type": "text/event-stream", "Cache-Control": "no-cache"}
@@ -191,111 +196,120 @@
         return self.sink.request.protocol.disconnected
 
     def call(self, forward: Forward) -> Call:
-        return Call(self.method, self.path, {**self.headers, ID: self.received.id}, self.body)
+        return Call(self.method, self.path, {**self.headers, ID_HEADER: self.received.id}, self.body)
 
-    def time_headers(self, left: timedelta) -> Mapping[str, str]:
-        return {LEFT_MS: str(max(1, left // timedelta(milliseconds=1)))}
+    def time_headers(self, remaining: timedelta) -> Mapping[str, str]:
+        return {TIME_LEFT_HEADER: str(max(1, remaining // timedelta(milliseconds=1)))}
 
     def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
-        return read_head(status, headers, body)
+        return classify_response(status, headers, body)
 
     def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
-        """Give what a stream's end tells: tokens found kept, and a load report in a comment."""
-        lines = LOAD_LINE.findall(tail)
-        return cached(tail), read_load(lines[-1]) if lines else {}
+        """Parse a stream's end: the number of cached tokens, and the load report in an SSE comment."""
+        lines = LOAD_REPORT_PATTERN.findall(tail)
+        return parse_cached_tokens(tail), parse_load_report(lines[-1]) if lines else {}
 
-    def refuse(self, pause: timedelta | None) -> None:
-        self.answer(web.Response(status=503, headers=retry_after_headers(pause), text="refused\n"))
+    def refuse(self, retry_after: timedelta | None) -> None:
+        self.set_response(
+            web.Response(status=503, headers=retry_after_headers(retry_after), text="refused\n")
+        )
 
-    def fail(self, clash: bool) -> None:
-        self.answer(error_response(409, "this id is in use") if clash else error_response(502, "failed"))
+    def fail(self, duplicate: bool) -> None:
+        self.set_response(
+            error_response(409, "this id is in use") if duplicate else error_response(502, "failed")
+        )
 
-    def answer(self, response: web.Response) -> None:
+    def set_response(self, response: web.Response) -> None:
         if not self.done.done():
             self.done.set_result(response)
 
 
 class Platform:
-    """The front that the platform's clients speak to."""
+    """Front for the platform's clients."""
 
     def __init__(self, config: Config, runtime: Runtime) -> None:
         self.config, self.runtime = config, runtime
-        self.know(config.settings)
+        self.set_known_names(config.settings)
         self.server, self.runtimes = Server(config, self.handle, error_response), [runtime]
         self.server.break_off = self.break_off
         self.server.http_server.report_violation = runtime.report_violation
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one request."""
-        if request.path == READY:
+        """Handle one request."""
+        if request.path == READINESS_PATH:
             return web.Response(status=200 if self.server.ready else 503)
-        if request.path != CHAT:
+        if request.path != CHAT_PATH:
             return error_response(404, "unknown path", close=True)
         if request.method != "POST":
             return error_response(405, "only POST", close=True)
         try:
-            asked = read_asked(request.headers, self.classes, self.tenants)
+            received = parse_request(request.headers, self.classes, self.tenants)
         except ValueError as error:
             return error_response(400, str(error), close=True)
         body_size = self.server.body_size(request)
         if not self.server.bodies.reserve(body_size):
-            return self.turned(asked, self.busy())
+            return self.report_rejection(received, self.overload_response())
         try:
-            return await self.chat(request, asked)
+            return await self.chat(request, received)
         finally:
             self.server.bodies.release(body_size)
 
-    def break_off(self, part: float) -> None:
-        """Break off a part of what is open, the newest first: it has the longest way to go."""
+    def break_off(self, fraction: float) -> None:
+        """Interrupt a fraction of the open requests, newest first, as those would run longest."""
         ids = list(self.runtime.exchanges)
-        for id in ids[len(ids) - ceil(part * len(ids)) :]:
+        for id in ids[len(ids) - ceil(fraction * len(ids)) :]:
             self.runtime.feed(RequestInterrupted(id))
 
-    def turned(self, asked: RequestReceived, response: web.Response) -> web.Response:
-        """Answer a request that the reducer never took, and let the core count it."""
-        self.runtime.feed(RequestRejectedAtFront(asked.class_name, response.status in (429, 503)))
+    def report_rejection(self, received: RequestReceived, response: web.Response) -> web.Response:
+        """Report to the core that the front answers a request itself, and return that response."""
+        self.runtime.feed(RequestRejectedAtFront(received.class_name, response.status in (429, 503)))
         return response
 
-    def retune(self, settings: Settings) -> None:
-        """Take requests of the new classes from now on; those taken keep their rules."""
-        self.know(settings)
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply new settings to requests that arrive from now on; earlier ones keep the old settings."""
+        self.set_known_names(settings)
         self.runtime.feed(SettingsReloaded(settings))
 
-    def know(self, settings: Settings) -> None:
-        """Take what the headers of requests may name."""
+    def set_known_names(self, settings: Settings) -> None:
+        """Set the classes and tenants that request headers may name."""
         self.classes = {cls.name: cls for cls in settings.classes}
         self.tenants = {tenant.name for tenant in settings.tenants}
 
-    def busy(self) -> web.Response:
-        """Refuse before a limit is met."""
-        pause = timedelta(seconds=1) if self.runtime.state.settings.retry_after else None
-        response = web.Response(status=503, headers=retry_after_headers(pause), text="too much at once\n")
+    def overload_response(self) -> web.Response:
+        """Return the refusal of load shedding; it closes the connection."""
+        retry_after = timedelta(seconds=1) if self.runtime.state.settings.retry_after else None
+        response = web.Response(
+            status=503, headers=retry_after_headers(retry_after), text="too much at once\n"
+        )
         response.force_close()
         return response
 
-    async def chat(self, request: web.BaseRequest, asked: RequestReceived) -> web.StreamResponse:
-        """Take a request in and wait for its final answer."""
+    async def chat(self, request: web.BaseRequest, received: RequestReceived) -> web.StreamResponse:
+        """Accept a request and wait for its final answer."""
         body = await self.server.read(request)
         if isinstance(body, web.Response):
-            return self.turned(asked, body)
+            return self.report_rejection(received, body)
         try:
             if not isinstance(orjson.loads(body), dict):
-                return self.turned(asked, error_response(400, "the body must be a JSON object", close=True))
+                return self.report_rejection(
+                    received, error_response(400, "the body must be a JSON object", close=True)
+                )
         except orjson.JSONDecodeError:
-            return self.turned(asked, error_response(400, "the body is not JSON", close=True))
+            return self.report_rejection(received, error_response(400, "the body is not JSON", close=True))
         if denial := self.server.may_start():
-            log.write_event_limited("request_denied", request=asked.id, reason=denial.value)
-            return self.turned(asked, self.busy())
+            log.write_event_limited("request_denied", request=received.id, reason=denial.value)
+            return self.report_rejection(received, self.overload_response())
         runtime = self.runtime
-        if asked.id in runtime.exchanges:
-            return self.turned(asked, error_response(409, "this id is in use"))
+        if received.id in runtime.exchanges:
+            return self.report_rejection(received, error_response(409, "this id is in use"))
         if len(runtime.exchanges) >= self.config.max_open:
-            return self.turned(asked, self.busy())
-        # The client's time runs since its last byte came, not since we came to read it.
-        asked = replace(
-            asked, time_left=max(timedelta(), asked.time_left - time_since_last_received(request.transport))
+            return self.report_rejection(received, self.overload_response())
+        # Time left counts from the arrival of the client's last byte, not from when the event loop read it.
+        received = replace(
+            received,
+            time_left=max(timedelta(), received.time_left - time_since_last_received(request.transport)),
         )
-        exchange = Exchange(request, asked, body)
+        exchange = Exchange(request, received, body)
         if self.server.stopping or self.server.draining_since is not None:
             exchange.response.force_close()
         return await runtime.serve(exchange, exchange.done)
--- a/tests/test_front_parity.py
+++ b/tests/test_front_parity.py
@@ -1,4 +1,4 @@
-"""The same faults through both fronts, with one mixed endpoint, give equal outcomes."""
+"""Tests that the same fault has the same outcome through both fronts, with one mixed endpoint."""
 
 import asyncio
 
@@ -59,8 +59,10 @@
             async with start as program:
                 for cls, code in (("booking", booking), ("lookup", lookup)):
                     before = len(server.calls)
-                    ask = chat("x", cls, 400) if front == "platform" else infer("x", cls, time_left_ms=400)
-                    first, headers, _ = await program.ask(ask)
+                    request = (
+                        chat("x", cls, 400) if front == "platform" else infer("x", cls, time_left_ms=400)
+                    )
+                    first, headers, _ = await program.ask(request)
                     assert int(first.split()[1]) == code
                     assert ("retry-after" in headers) == (code == 503), "a refusal has Retry-After"
                     if cls == "booking" and behaviour is not reject_unprocessed:
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -1,4 +1,4 @@
-"""The v2 front: its outcomes are those of the HTTP/1.1 path, with stand-in v2 servers and clients."""
+"""Tests of the v2 front, with simulated v2 servers and clients."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 
 
 async def serve(call, writer):
-    """Play a v2 server."""
+    """Respond as a v2 server."""
     writer.write(message("HTTP/1.1 200 OK", ANSWER, Content_Type="application/json"))
 
 
@@ -22,33 +22,33 @@
     await asyncio.Event().wait()
 
 
-async def close_mid_answer(call, writer):
+async def close_mid_response(call, writer):
     writer.write(message("HTTP/1.1 200 OK", ANSWER)[:-20])
     await writer.drain()
     writer.close()
 
 
-async def close_mid_answer_untold(call, writer):
+async def close_mid_response_without_length(call, writer):
     writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + ANSWER[:-20])
     await writer.drain()
     writer.close()
 
 
-async def turn_away(call, writer):
+async def reject_unprocessed(call, writer):
     writer.write(message("HTTP/1.1 503 Service Unavailable", X_Unprocessed="1"))
 
 
 def assignment(*servers):
-    """Write a load assignment of (address, health) pairs."""
-    found = []
-    for at, (address, health) in enumerate(servers):
+    """Return a load assignment of (address, health) pairs."""
+    lb_endpoints = []
+    for index, (address, health) in enumerate(servers):
         host, port = address.split(":")
         socket = {"address": host, "port_value": int(port)}
-        found.append(
+        lb_endpoints.append(
             {
                 "endpoint": {"address": {"socket_address": socket}},
                 "health_status": health,
-                "metadata": {"filter_metadata": {"hoplane": {"name": f"m{at}"}}},
+                "metadata": {"filter_metadata": {"hoplane": {"name": f"m{index}"}}},
             }
         )
     kind = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
@@ -58,7 +58,7 @@
                 {
                     "@type": kind,
                     "cluster_name": "desk",
-                    "endpoints": [{"locality": {"zone": "z", "sub_zone": "k"}, "lb_endpoints": found}],
+                    "endpoints": [{"locality": {"zone": "z", "sub_zone": "k"}, "lb_endpoints": lb_endpoints}],
                 }
             ]
         }
@@ -67,27 +67,27 @@
 
 @asynccontextmanager
 async def sidecar(tmp_path, *servers, allowed="", first=""):
-    """Start the program with the file that the repository ships, at an address and endpoints of ours."""
+    """Start the program with the repository's sample configuration, at the test's address and endpoints."""
     address = f"127.0.0.1:{free_port()}"
     text = (ROOT / "deploy/kserve.toml").read_text()
     text = text.replace("[settings.allowed]\n", f"[settings.allowed]\n{allowed}\n")
     (tmp_path / "kserve.toml").write_text(re.sub(r'listen = ".*?"', f'listen = "{address}"', text))
     (tmp_path / "xds").mkdir()
     (tmp_path / "xds/clusters.json").write_text((ROOT / "deploy/xds/clusters.json").read_text())
-    file = tmp_path / "xds/endpoints.json"
-    file.write_text(assignment(*[(server.address, "HEALTHY") for server in servers]))
+    endpoints_file = tmp_path / "xds/endpoints.json"
+    endpoints_file.write_text(assignment(*[(server.address, "HEALTHY") for server in servers]))
     async with started(str(tmp_path / "kserve.toml"), address=address, first=first) as program:
-        program.endpoints, program.file = file, tmp_path / "kserve.toml"
+        program.endpoints, program.file = endpoints_file, tmp_path / "kserve.toml"
         yield program
 
 
 def infer(id="b1", cls="booking", model="desk", **parameters):
-    told = {
+    document = {
         "id": id,
         "parameters": {"service_class": cls, **parameters},
         "inputs": [{"name": "text", "shape": [1], "datatype": "BYTES", "data": ["a desk"]}],
     }
-    body = json.dumps(told).encode()
+    body = json.dumps(document).encode()
     return message(f"POST /v2/models/{model}/infer HTTP/1.1", body, Host="h", Content_Type="application/json")
 
 
@@ -104,11 +104,11 @@
     code = int(first.split()[1])
     assert code < 400 or code in (413,) or json.loads(body)["error"]
     if code == 503:
-        assert float(headers["retry-after"]) > 0, "a refusal says when to return"
+        assert float(headers["retry-after"]) > 0, "a refusal has Retry-After"
     return code
 
 
-def test_an_inference_passes_both_ways_unchanged(tmp_path):
+def test_inference_is_relayed_unchanged_in_both_directions(tmp_path):
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
             data = infer(time_left_ms=3000, prompt_len=900)
@@ -121,7 +121,7 @@
     run(test())
 
 
-def test_the_health_and_model_calls(tmp_path):
+def test_health_and_model_calls(tmp_path):
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
             assert json.loads((await program.ask(get("/v2")))[2])["name"] == "hoplane"
@@ -148,7 +148,7 @@
         infer(prompt_len=-1),
     ],
 )
-def test_what_is_malformed_reaches_no_endpoint(tmp_path, data):
+def test_malformed_requests_reach_no_endpoint(tmp_path, data):
     async def test():
         async with Server(serve) as server, sidecar(tmp_path, server) as program:
             assert await status(program, data) == 400
@@ -157,10 +157,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("breaks", [close_mid_answer, close_mid_answer_untold])
-def test_a_server_that_closes_mid_answer(tmp_path, breaks):
+@pytest.mark.parametrize("behaviour", [close_mid_response, close_mid_response_without_length])
+def test_server_closes_mid_response(tmp_path, behaviour):
     async def test():
-        async with Server(breaks) as bad, sidecar(tmp_path, bad) as program:
+        async with Server(behaviour) as bad, sidecar(tmp_path, bad) as program:
             assert await status(program, infer(id="b1")) == 502
             assert await status(program, infer(id="b1")) == 409, "it may have run"
             assert len(bad.calls) == 1
@@ -173,11 +173,11 @@
     run(test())
 
 
-def test_a_booking_that_ran_or_runs_is_never_sent_again(tmp_path):
-    go_on = asyncio.Event()
+def test_unsafe_request_that_ran_or_is_running_is_not_resent(tmp_path):
+    proceed = asyncio.Event()
 
     async def wait(call, writer):
-        await go_on.wait()
+        await proceed.wait()
         await serve(call, writer)
 
     async def test():
@@ -185,7 +185,7 @@
             first = asyncio.ensure_future(status(program, infer(id="b1")))
             await server.wait_for("POST")
             assert await status(program, infer(id="b1")) == 409, "it is running"
-            go_on.set()
+            proceed.set()
             assert await first == 200
             assert await status(program, infer(id="b1", repeat=True)) == 409, "it has run"
             assert await status(program, infer(id="b2")) == 200
@@ -196,9 +196,9 @@
     run(test())
 
 
-def test_a_booking_that_never_ran_may_come_again(tmp_path):
+def test_unsafe_request_that_did_not_run_may_be_retried(tmp_path):
     async def test():
-        async with Server(turn_away) as server, sidecar(tmp_path, server) as program:
+        async with Server(reject_unprocessed) as server, sidecar(tmp_path, server) as program:
             assert await status(program, infer(id="b1", time_left_ms=300)) == 503
             server.respond = serve
             assert await status(program, infer(id="b1")) in (200, 503)
@@ -209,18 +209,18 @@
     run(test())
 
 
-@pytest.mark.parametrize(("cls", "code", "again"), [("lookup", 503, 503), ("booking", 502, 409)])
-def test_the_deadline_ends_the_attempt(tmp_path, cls, code, again):
+@pytest.mark.parametrize(("cls", "code", "retry_code"), [("lookup", 503, 503), ("booking", 502, 409)])
+def test_deadline_ends_the_attempt(tmp_path, cls, code, retry_code):
     async def test():
         async with Server(hang) as server, sidecar(tmp_path, server) as program:
             assert await status(program, infer(cls=cls, time_left_ms=200)) == code
             assert (await within(server.closed.get()))[0].startswith("POST")
-            assert await status(program, infer(cls=cls, time_left_ms=200)) == again
+            assert await status(program, infer(cls=cls, time_left_ms=200)) == retry_code
 
     run(test())
 
 
-def test_a_client_that_leaves_ends_its_attempt(tmp_path):
+def test_client_disconnect_ends_its_attempt(tmp_path):
     async def test():
         async with Server(hang) as server, sidecar(tmp_path, server) as program:
             _, writer = await program.connect()
@@ -233,16 +233,16 @@
     run(test())
 
 
-def test_drains_and_broken_files(tmp_path):
+def test_drain_and_malformed_files(tmp_path):
     async def test():
         async with Server(serve) as old, Server(serve) as new, sidecar(tmp_path, old) as program:
             program.endpoints.write_text('{"resources": [')
             assert "endpoints.json" in (await program.line("xds_broken"))["file"]
-            assert await status(program, infer(id="b1")) == 200, "the last good list stays"
+            assert await status(program, infer(id="b1")) == 200, "the last valid list stays in use"
             program.endpoints.write_text(assignment((old.address, "DRAINING"), (new.address, "HEALTHY")))
-            before = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             await program.line("endpoints")
-            assert asyncio.get_running_loop().time() - before < 1
+            assert asyncio.get_running_loop().time() - started_at < 1
             for number in range(5):
                 assert await status(program, infer(id=f"c{number}")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 5
@@ -250,7 +250,7 @@
     run(test())
 
 
-def test_a_reload_moves_to_other_files_and_a_broken_one_changes_nothing(tmp_path):
+def test_reload_switches_files_unless_the_new_one_is_malformed(tmp_path):
     async def test():
         async with Server(serve) as old, Server(serve) as new, sidecar(tmp_path, old) as program:
             text = program.file.read_text()
@@ -262,32 +262,34 @@
             other.write_text(assignment((new.address, "HEALTHY")))
             program.reload(text.replace("endpoints.json", "other.json"))
             assert "other.json" in (await program.line("reloaded"))["watch"]
-            assert await status(program, infer(id="b1")) == 409, "the ledger goes on"
+            assert await status(program, infer(id="b1")) == 409, "the idempotency store survives the reload"
             assert await status(program, infer(id="b2")) == 200
             assert len(old.calls) == 1 and len(new.calls) == 1
 
     run(test())
 
 
-def test_a_silent_server_that_answers_no_probe_is_left_and_a_safe_request_goes_elsewhere(tmp_path):
-    mute = []
+def test_safe_request_is_retried_elsewhere_if_its_server_answers_no_probe(tmp_path):
+    unresponsive_ports = []
 
-    async def first_is_cut_off(call, writer):
+    async def hang_after_first_request(call, writer):
         port = writer.get_extra_info("sockname")[1]
-        if call[0].startswith("POST") and not mute:
-            mute.append(port)
-        await (hang if port in mute else serve)(call, writer)
+        if call[0].startswith("POST") and not unresponsive_ports:
+            unresponsive_ports.append(port)
+        await (hang if port in unresponsive_ports else serve)(call, writer)
 
     async def test():
         async with (
-            Server(first_is_cut_off) as a,
-            Server(first_is_cut_off) as b,
+            Server(hang_after_first_request) as a,
+            Server(hang_after_first_request) as b,
             sidecar(tmp_path, a, b, allowed="probes = true") as program,
         ):
             assert await status(program, infer(cls="lookup", session="s")) == 200
-            cut_off, other = sorted((a, b), key=lambda server: not server.address.endswith(str(mute[0])))
-            assert cut_off.calls_to("GET /v2/health/live") and not other.calls_to("GET")
-            assert len(cut_off.calls_to("POST")) == len(other.calls_to("POST")) == 1
+            unresponsive, other = sorted(
+                (a, b), key=lambda server: not server.address.endswith(str(unresponsive_ports[0]))
+            )
+            assert unresponsive.calls_to("GET /v2/health/live") and not other.calls_to("GET")
+            assert len(unresponsive.calls_to("POST")) == len(other.calls_to("POST")) == 1
             assert (await program.line("probe_unanswered"))["status"] == "timeout"
 
     run(test())
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -16,7 +16,7 @@
 from hoplane.core import release
 from hoplane.core.events import ClientDisconnected, Endpoint, Forward, Release, RequestReceived
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, State, Status
-from hoplane.fronts.platform import read_list
+from hoplane.fronts.platform import parse_endpoint_list
 from hoplane.net.interface import Call
 from hoplane.net.pool import Pool, SendDeniedError, SendGate
 
@@ -114,7 +114,7 @@
 def drain(runtime, name):
     listed = [each for each in runtime.state.fleet.values() if each.name == name]
     entries = [entry(each.name, each.address, each.kind, "Terminating") for each in listed]
-    runtime.feed(read_list({"index": 2, "snapshot": False, "endpoints": entries}))
+    runtime.feed(parse_endpoint_list({"index": 2, "snapshot": False, "endpoints": entries}))
 
 
 def test_no_reservation_at_a_writer_that_starts_draining_during_the_connect():
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -14,8 +14,8 @@
 from hoplane.core.events import AttemptEnded, ClientDisconnected, RequestReceived
 from hoplane.core.pacing import Pacing
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, Status
-from hoplane.fronts.kserve import problem
-from hoplane.fronts.platform import hold_path, read_list
+from hoplane.fronts.kserve import error_response
+from hoplane.fronts.platform import parse_endpoint_list, reservation_path
 from hoplane.net import aiohttp_internals
 from hoplane.net.discovery import Discovery
 from hoplane.net.interface import Call
@@ -37,9 +37,9 @@
         **changes,
     }
     config = from_platform(raw_config)
-    runtime = Runtime(config, Pool(config), "/health/live", hold_path)
+    runtime = Runtime(config, Pool(config), "/health/live", reservation_path)
     entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
-    runtime.feed(read_list({"index": 1, "snapshot": True, "endpoints": entries}))
+    runtime.feed(parse_endpoint_list({"index": 1, "snapshot": True, "endpoints": entries}))
     return runtime
 
 
@@ -90,7 +90,7 @@
 
     async def test():
         raw_config = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:1", "settings": SETTINGS}
-        answer = await FrontServer(from_platform(raw_config), broken, problem).handle(None)
+        answer = await FrontServer(from_platform(raw_config), broken, error_response).handle(None)
         assert answer.status == 500 and json.loads(answer.body)["error"]
 
     asyncio.run(within(test(), 60))
@@ -254,7 +254,7 @@
 
 def test_discovery_applies_lists_and_changes_and_starts_anew_after_an_index_decreases():
     updates = []
-    watch = Discovery(None, "", read_list, updates.append, Pacing(settings(), random.Random(1)))
+    watch = Discovery(None, "", parse_endpoint_list, updates.append, Pacing(settings(), random.Random(1)))
     one, two = entry("a", "127.0.0.1:1", "prefill"), entry("b", "127.0.0.1:2", "decode", "Odd")
     watch.process_response({"index": 5, "snapshot": True, "endpoints": [one]})
     watch.process_response({"index": 7, "snapshot": False, "endpoints": [two]})
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -12,7 +12,7 @@
 from hoplane.core.reducer import ConductorState, reduce
 from hoplane.decision import interface as api
 from hoplane.decision.router import Router
-from hoplane.fronts.platform import read_asked
+from hoplane.fronts.platform import parse_request
 from hoplane.net.server import retry_after_headers
 
 HEADERS = {
@@ -26,7 +26,7 @@
 @pytest.mark.parametrize(("account", "tenant"), [("acme", "acme"), ("unknown", None), (None, None)])
 def test_tenant_is_read_if_the_settings_list_it(account, tenant):
     headers = HEADERS | ({"X-Account": account} if account else {})
-    assert read_asked(headers, {"c"}, {"acme"}).tenant == tenant
+    assert parse_request(headers, {"c"}, {"acme"}).tenant == tenant
 
 
 def conductor(retry_after=False):
@@ -51,7 +51,7 @@
     return state
 
 
-def ask(state, cls="c"):
+def submit(state, cls="c"):
     request = ev.RequestReceived("r1", cls, 10, 5, ev.timedelta(seconds=4))
     return reduce(state, ev.timedelta(seconds=1), request)
 
@@ -60,7 +60,7 @@
 def test_refusal_has_retry_after_only_if_allowed(allowed):
     state = conductor(retry_after=allowed)
     reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated((), True))
-    effects = [e for e in ask(state) if isinstance(e, ev.Refuse)]
+    effects = [e for e in submit(state) if isinstance(e, ev.Refuse)]
     due = ev.TimerFired(("r1", None, ev.timedelta(seconds=1)))
     effects += reduce(state, ev.timedelta(seconds=5), due)
     refused = [e for e in effects if isinstance(e, ev.Refuse)]
@@ -88,7 +88,7 @@
     if kind == "read":
         endpoints = [ev.Endpoint(name, "h:1", "z", name, 0, api.State.LIVE) for name in ("read", "write")]
         reduce(state, ev.timedelta(seconds=1), ev.EndpointsUpdated(tuple(endpoints), True))
-    forwarded = [e for e in ask(state, cls) if isinstance(e, ev.Forward)]
+    forwarded = [e for e in submit(state, cls) if isinstance(e, ev.Forward)]
     assert [e.is_read for e in forwarded] == [kind == "read"]
     repeatable, answer = cls in ("c", "keyed-all"), ev.Refuse if kind == "read" else answer
     effects = reduce(state, ev.timedelta(seconds=2), ev.RequestInterrupted("r1"))
@@ -104,7 +104,7 @@
 
 def test_started_stream_is_broken_off_without_another_answer():
     state = conductor()
-    ask(state)
+    submit(state)
     reduce(state, ev.timedelta(seconds=2), ev.ResponseStarted("r1", 0))
     effects = reduce(state, ev.timedelta(seconds=3), ev.RequestInterrupted("r1"))
     assert [type(e) for e in effects] == [ev.AbandonAttempt]
@@ -123,8 +123,10 @@
         await asyncio.sleep(0.1)
 
 
-@pytest.mark.parametrize(("resume", "least", "most"), [(True, 1.4, 3.6), (False, 4.0, 99)])
-def test_streams_are_ended_before_sigkill_if_clients_resume_elsewhere(tmp_path, resume, least, most):
+@pytest.mark.parametrize(("resume", "min_seconds", "max_seconds"), [(True, 1.4, 3.6), (False, 4.0, 99)])
+def test_streams_are_ended_before_sigkill_if_clients_resume_elsewhere(
+    tmp_path, resume, min_seconds, max_seconds
+):
     settings = copy.deepcopy(SETTINGS)
     settings["family_info"]["resume"] = resume
 
@@ -135,23 +137,23 @@
                 incoming, outgoing = await program.connect()
                 outgoing.write(chat())
                 await within(incoming.readuntil(EVENT))
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 program.process.terminate()
-                ended = None
-                while time.monotonic() - begun < min(most, 4.2):
+                elapsed = None
+                while time.monotonic() - started_at < min(max_seconds, 4.2):
                     try:
                         part = await asyncio.wait_for(incoming.read(4096), 0.3)
                     except TimeoutError:
                         continue
                     if not part:
-                        ended = time.monotonic() - begun
+                        elapsed = time.monotonic() - started_at
                         break
                     assert b"\r\n0\r\n" not in part, "a broken-off stream has no final chunk"
                 if resume:
-                    assert ended is not None and least < ended < most
+                    assert elapsed is not None and min_seconds < elapsed < max_seconds
                     assert await within(program.process.wait()) == 0
                 else:
-                    assert ended is None, "the stream keeps running, as its client cannot resume it"
+                    assert elapsed is None, "the stream keeps running, as its client cannot resume it"
                 outgoing.close()
 
     asyncio.run(test())
