--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -18,7 +18,11 @@
 
 Fields = dict[str, str]
 
-EFFECTS = {"pure": api.Effect.SAFE, "token": api.Effect.KEYED, "side_effect": api.Effect.UNSAFE}
+EFFECTS = {
+    "pure": api.Idempotency.SAFE,
+    "token": api.Idempotency.KEYED,
+    "side_effect": api.Idempotency.UNSAFE,
+}
 STATES = {"live": api.State.LIVE, "quiescing": api.State.DRAINING, "dead": api.State.GONE}
 STATUSES = {
     "done": api.Status.OK,
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -66,9 +66,9 @@
     @property
     def repeatable(self) -> bool:
         """Return whether the request may be refused although it may have run."""
-        return self.class_settings is None or self.class_settings.repeatable
+        return self.class_settings is None or self.class_settings.safe_to_refuse
 
-    def has_effect(self, effect: api.Effect) -> bool:
+    def has_effect(self, effect: api.Idempotency) -> bool:
         """Return whether the request's class has this effect."""
         return self.class_settings is not None and self.class_settings.effect is effect
 
@@ -289,10 +289,10 @@
     if status in MAY_HAVE_RUN_STATUSES:
         request.interrupted = True
     if not attempt.is_read and status in MAY_HAVE_RUN_STATUSES:
-        if request.may_have_run and request.has_effect(api.Effect.UNSAFE):
+        if request.may_have_run and request.has_effect(api.Idempotency.UNSAFE):
             state.invariants.record(Violation.RUN_TWICE)
         request.may_have_run = True
-        if request.repeat_until is None and request.has_effect(api.Effect.KEYED):
+        if request.repeat_until is None and request.has_effect(api.Idempotency.KEYED):
             request.repeat_until = attempt.sent_at + to_timedelta(request.class_settings.window)
     yield from release_overdue(state, now, request)
     if not request.response_started and status is not Status.CONNECT_FAILED:
@@ -486,7 +486,7 @@
     request.attempts.append(Attempt(action.server, role is api.Role.READ, now))
     denial = permits.may_repeat(
         permits.RepeatConditions(
-            role is api.Role.READ or request.repeatable or not request.has_effect(api.Effect.UNSAFE),
+            role is api.Role.READ or request.repeatable or not request.has_effect(api.Idempotency.UNSAFE),
             request.may_have_run,
             index,
             max_attempts or None,
@@ -508,7 +508,7 @@
             endpoint,
             time_left,
             is_read,
-            not is_read and request.has_effect(api.Effect.UNSAFE),
+            not is_read and request.has_effect(api.Idempotency.UNSAFE),
             None if is_read else request.repeat_until,
         )
         return []
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -18,7 +18,7 @@
     BOTH = "both"
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """Whether a request may be repeated once it may have run."""
 
     SAFE = "safe"
@@ -75,7 +75,7 @@
     name: str
     aim: int
     deadline: int
-    effect: Effect
+    effect: Idempotency
     worth: float = 1.0
     late_worth: float = 0.0
     group: Group = Group.ALL
@@ -84,12 +84,14 @@
     token_aim: int | None = None
 
     @property
-    def repeatable(self) -> bool:
+    def safe_to_refuse(self) -> bool:
         """Return whether a request may be refused although it may have run.
 
         A refusal invites the client to send the request again.
         """
-        return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.group is Group.ALL)
+        return self.effect is Idempotency.SAFE or (
+            self.effect is Idempotency.KEYED and self.group is Group.ALL
+        )
 
 
 @dataclass(slots=True, frozen=True)
--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -1,7 +1,8 @@
 """The routing decisions of one router, with their tables and tuning constants.
 
-Every send passes through `send`, every final answer through `finish`. `progress` drives requests without an
-attempt in flight. See `interface.py` for the events and actions, and `docs/design.md` for the design.
+Every send passes through `send`, every final answer through `finish`. `continue_request` drives requests
+without an attempt in flight. See `interface.py` for the events and actions, and `docs/design.md` for the
+design.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 from . import interface as api
 from .cached_tokens import CachedTokensEstimator
-from .interface import Effect, Group, Role, State, Status
+from .interface import Group, Idempotency, Role, State, Status
 from .peer_messages import PeerReport, Symptom
 from .prefix_placement import observed_share, prefix_fanout
 from .probes import ProbeReliability
@@ -80,7 +81,11 @@
 MAX_CONSECUTIVE_ERRORS, FAST_FAILURE = 2, 100 * MS
 # The prior for unknown servers, and the rate above which other servers come first.
 ERROR_RATE_PRIOR, HIGH_ERROR_RATE = 0.04, 0.45
-ERROR_COST = {Effect.SAFE: 1.0, Effect.KEYED: 1.0, Effect.UNSAFE: 8.0}  # of the error rate, at writers
+ERROR_COST = {
+    Idempotency.SAFE: 1.0,
+    Idempotency.KEYED: 1.0,
+    Idempotency.UNSAFE: 8.0,
+}  # of the error rate, at writers
 BASE_EJECTION_TIME, MAX_EJECTION_TIME = SECOND, 8 * SECOND  # doubles with each consecutive ejection
 # How long before its return an ejected server is probed, and the minimum time between probes of one server.
 PROBE_LEAD_TIME, MIN_PROBE_INTERVAL = 400 * MS, 400 * MS
@@ -145,7 +150,7 @@
         """Process an event and return the resulting actions in order; unknown events are ignored."""
         self.now, self.actions = now, []
         if handler := self.handlers.get(type(event)):
-            self.progress(handler(event))
+            self.continue_request(handler(event))
         return self.actions
 
     def on_server_list(self, event: api.ServerListUpdate) -> None:
@@ -262,7 +267,7 @@
             self.record_activity(attempt)
         elif status in (Status.CONNECT_FAILED, Status.RESET, Status.ERROR):
             self.record_failure(server, event)
-        elif status in (Status.CANCELLED, Status.TIMEOUT) and attempt.is_read and not attempt.overtaken:
+        elif status in (Status.CANCELLED, Status.TIMEOUT) and attempt.is_read and not attempt.presumed_lost:
             # A lower bound: the read would have waited even longer.
             self.record_queue_delay(server, event.elapsed, attempt.unread_tokens)
         elif status is Status.FULL and event.detail != 1:
@@ -422,22 +427,22 @@
                     self.cancel_repeatable(server)
                 elif silent_for > PROBE_SILENCE * min(cls.aim for cls in self.settings.classes):
                     self.probe(server)
-        for attempt in [a for job in unanswered for a in job.in_flight if a.overtaken and not a.failed]:
-            repeatable = attempt.is_read or attempt.job.cls.effect is Effect.SAFE
+        for attempt in [a for job in unanswered for a in job.in_flight if a.presumed_lost and not a.failed]:
+            repeatable = attempt.is_read or attempt.job.cls.effect is Idempotency.SAFE
             if repeatable and self.now - attempt.sent_at > self.silence_limit(attempt):
                 attempt.failed = True
                 self.cancel([attempt])
         for table in (self.sessions, self.prefix_arrivals):
             drop_older_than(table, self.now - IDLE_TIMEOUT)
         for job in unanswered:
-            self.progress(job)
+            self.continue_request(job)
         self.sweep_scheduled = bool(unanswered)
         if self.sweep_scheduled:
             self.schedule(SWEEP_INTERVAL, self.sweep)
 
     def cancel_repeatable(self, server: Server) -> None:
         """Cancel the attempts at a server that may be repeated."""
-        self.cancel(a for a in server.in_flight.values() if a.is_read or a.job.cls.effect is Effect.SAFE)
+        self.cancel(a for a in server.in_flight.values() if a.is_read or a.job.cls.effect is Idempotency.SAFE)
 
     def probe(self, server: Server) -> None:
         """Probe a listed server, at most once per MIN_PROBE_INTERVAL."""
@@ -491,11 +496,11 @@
             if server.last_probe_answer_at > attempt.sent_at
             else MIN_SILENCE[attempt.is_read]
         )
-        if attempt.overtaken:
+        if attempt.presumed_lost:
             minimum = MIN_SILENCE[True]
             ahead = [a for a in server.in_flight.values() if a.is_read and a.sent_at <= attempt.sent_at]
         minimum *= min(cls.aim for cls in self.settings.classes)
-        tokens = sum(a.job.request.prompt_tokens if attempt.overtaken else a.unread_tokens for a in ahead)
+        tokens = sum(a.job.request.prompt_tokens if attempt.presumed_lost else a.unread_tokens for a in ahead)
         return max(
             SILENCE_FACTOR * (self.stage_times[attempt.is_read].value or 0), minimum
         ) + self.reading_time(tokens)
@@ -514,19 +519,19 @@
             if self.now >= s.available_at(tenant_class) and not (s.consecutive_ejections and s.in_flight)
         ]
 
-    def progress(self, job: Job | None) -> None:
+    def continue_request(self, job: Job | None) -> None:
         """Make sure that a request without an attempt in flight is sent, waits within its limits, or ends."""
         if job is None or job.in_flight or self.jobs.get(job.request.request_id) is not job:
             return
         if not job.ended:
-            self.advance(job)
+            self.start_next_attempt(job)
         if job.ended and not job.in_flight:
             self.release(job)
             del self.jobs[job.request.request_id]
 
-    def advance(self, job: Job) -> None:
+    def start_next_attempt(self, job: Job) -> None:
         """Send the request to the next stage, let it wait, or end it."""
-        exhausted = self.now >= job.deadline - self.settings.tick or not self.may_send(job, None)
+        exhausted = self.now >= job.deadline - self.settings.tick or not self.may_attempt(job, None)
         give_up = exhausted or self.no_server_in_time(job)
         state_deadline = job.state_since + (self.settings.release_within or IDLE_TIMEOUT) - 2 * SWEEP_INTERVAL
         if not give_up and job.state_holder is None and self.would_be_late(job):
@@ -571,7 +576,7 @@
             max(0, job.retry_delay), self.settings.retry_after and self.settings.max_retry_after or 0
         )
         self.actions.append(
-            api.Refuse(request, retry_delay) if safe_to_retry or cls.repeatable else api.Fail(request)
+            api.Refuse(request, retry_delay) if safe_to_retry or cls.safe_to_refuse else api.Fail(request)
         )
         job.ended = True
         self.cancel(job.in_flight)
@@ -583,17 +588,19 @@
                 api.Cancel(a.job.request.request_id, a.index) for a in attempts if not a.response_started
             )
 
-    def may_send(self, job: Job, server: Server | None) -> bool:
+    def may_attempt(self, job: Job, server: Server | None) -> bool:
         """Return whether another attempt is allowed, at this server or (None) at any."""
         max_attempts, cls = job.max_attempts, job.cls
-        may_add_attempt = not job.in_flight or (self.settings.second_copies and cls.effect is Effect.SAFE)
+        may_add_attempt = not job.in_flight or (
+            self.settings.second_copies and cls.effect is Idempotency.SAFE
+        )
         if job.ended or (max_attempts and len(job.attempts) >= max_attempts) or not may_add_attempt:
             return False
         may_have_run = [attempt for attempt in job.attempts if attempt.may_have_run]
-        if not may_have_run or cls.effect is Effect.SAFE:
+        if not may_have_run or cls.effect is Idempotency.SAFE:
             return True
         if (
-            cls.effect is Effect.UNSAFE
+            cls.effect is Idempotency.UNSAFE
             or self.now + self.settings.tick >= may_have_run[0].sent_at + cls.window
         ):
             return False
@@ -606,7 +613,7 @@
 
     def send(self, job: Job, server: Server, is_read: bool) -> bool:
         """Send the request if allowed by drains, slow start, the attempt limit, copies and effects."""
-        allowed = server.entry.state is State.LIVE and self.may_send(job, server)
+        allowed = server.entry.state is State.LIVE and self.may_attempt(job, server)
         if not (allowed and (server is job.reserved_server or self.slow_start_allows(server))):
             return False
         server.credit = server.credit if server is job.reserved_server else 0.0
--- a/hoplane/decision/slow_start.py
+++ b/hoplane/decision/slow_start.py
@@ -21,8 +21,9 @@
     def __init__(self, span: int) -> None:
         self.span, self.arrivals = span, DecayingCounter(span)  # arrivals leave out retries
         # Hooks, set from outside if the fleet shares a budget for each cold server. They take the server id.
-        # `may_send` returns whether one more send fits the budget, or None to use the credit kept here.
-        self.may_send: Callable[[int], bool | None] = lambda server: None
+        # `shared_budget_allows` returns whether one more send fits the budget, or None if there is no shared
+        # budget and the credit of this router decides.
+        self.shared_budget_allows: Callable[[int], bool | None] = lambda server: None
         self.reserve_send: Callable[[int], None] = lambda server: None
 
     def allows_send(
@@ -38,8 +39,8 @@
         """
         if server.warmup_progress(now, settings.cold) == 1 or not settings.fall_multiple:
             return True
-        if (may_send := self.may_send(server.entry.server)) is not None:
-            return may_send
+        if (shared_budget_allows := self.shared_budget_allows(server.entry.server)) is not None:
+            return shared_budget_allows
         work = max(1.0, recent_sends.add(now, 0), self.arrivals.add(now, 0) - 1)
         share = SAFETY_FACTOR * min(1.0, settings.cold_share * settings.fall_multiple) / role_size
         earned = (now - server.credit_updated_at) * work / self.span * share
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -154,7 +154,7 @@
     def oldest_waiting(self) -> Attempt | None:
         """Return the attempt waiting longest at the server that no later one has overtaken."""
         for attempt in self.in_flight.values():
-            if not attempt.response_started and not attempt.overtaken:
+            if not attempt.response_started and not attempt.presumed_lost:
                 return attempt
         return None
 
@@ -183,7 +183,7 @@
     failed: bool = False  # other servers are tried first for the next attempt
 
     @property
-    def overtaken(self) -> bool:
+    def presumed_lost(self) -> bool:
         """Return whether the attempt may be lost.
 
         That is the case if later attempts at the server were answered, or if the server reported an empty
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -16,7 +16,7 @@
 from hoplane.config import Config
 from hoplane.core.events import EndpointsUpdated, Forward, RequestReceived, SettingsReloaded
 from hoplane.core.invariants import Violation
-from hoplane.decision.interface import ClassSettings, Effect, Role, Settings, State, Status
+from hoplane.decision.interface import ClassSettings, Idempotency, Role, Settings, State, Status
 from hoplane.net.interface import Call, HeadOutcome
 from hoplane.net.pool import Pool
 from hoplane.net.runtime import Runtime
@@ -90,7 +90,7 @@
     cls, id = classes[name], read.get("id")
     if id is not None and (not isinstance(id, str) or not 0 < len(id) <= 256):
         raise ValueError("id: must be a text of 1 to 256 characters")
-    if id is None and cls.effect is not Effect.SAFE:
+    if id is None and cls.effect is not Idempotency.SAFE:
         raise ValueError(f"id: is needed, as requests of the class {name} must not run twice")
     patience = timedelta(milliseconds=fact(told, "time_left_ms", int, cls.deadline // 1_000_000))
     return RequestReceived(
@@ -104,7 +104,7 @@
         fact(told, "prefix_len", int, 0),
         None,
         fact(told, "repeat", bool, False),
-        idempotency_key=None if cls.effect is Effect.SAFE else id,
+        idempotency_key=None if cls.effect is Idempotency.SAFE else id,
     )
 
 
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -63,7 +63,9 @@
         """Apply the fleet's budgets to a conductor's cold endpoints, and subscribe to its failures."""
         self.attached.add(id(runtime))
         slow_start = runtime.state.router.slow_start
-        slow_start.may_send = lambda server: self.cold_quota(runtime, server).may_spend(self.now())
+        slow_start.shared_budget_allows = lambda server: self.cold_quota(runtime, server).may_spend(
+            self.now()
+        )
         slow_start.reserve_send = lambda server: self.reserve_send(runtime, server)
         runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
         runtime.record_outcome = self.record_outcome
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,7 +44,7 @@
 )
 
 
-def settings(effect=api.Effect.SAFE, **changes):
+def settings(effect=api.Idempotency.SAFE, **changes):
     values = {
         "kinds": (
             api.KindSettings("reader", api.Role.READ, 200_000),
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -93,7 +93,7 @@
             "chat",
             aim=10**9,
             deadline=4 * 10**9,
-            effect=api.Effect.SAFE,
+            effect=api.Idempotency.SAFE,
             worth=2.0,
             window=5 * 10**9,
             aim_per_1000=40_000_000,
--- a/tests/test_failure_handling.py
+++ b/tests/test_failure_handling.py
@@ -6,7 +6,7 @@
 from conftest import FLEET, MS, READER_A, READER_B, WRITER_A, WRITER_B, Harness, S, entry
 
 from hoplane.decision import interface as api
-from hoplane.decision.interface import Effect, Status
+from hoplane.decision.interface import Idempotency, Status
 
 MANY_READERS = tuple(entry(100 + n, "reader") for n in range(4)) + FLEET[2:]
 
@@ -127,11 +127,11 @@
     return sends, lost
 
 
-@pytest.mark.parametrize("effect", [Effect.SAFE, Effect.UNSAFE])
+@pytest.mark.parametrize("effect", [Idempotency.SAFE, Idempotency.UNSAFE])
 def test_writer_that_fails_fast_does_not_attract_requests(effect):
     found = [play_with_failing_writer(effect, seed) for seed in range(10)]
     assert max(sends[100] for sends, _ in found) <= 2, "its first error counts"
-    assert all(sends[100 + n] for sends, _ in found for n in range(1, 12) if effect is Effect.SAFE)
+    assert all(sends[100 + n] for sends, _ in found for n in range(1, 12) if effect is Idempotency.SAFE)
 
 
 def test_read_at_a_silent_reader_is_retried_elsewhere_in_time():
@@ -156,7 +156,7 @@
 
 
 def test_request_lost_at_a_writer_does_not_delay_others():
-    harness = with_lost_request(api.Effect.UNSAFE)
+    harness = with_lost_request(api.Idempotency.UNSAFE)
     harness.run_timers(harness.now + 3 * S)
     assert harness.actions_of(api.Cancel) == [], "a request that may have run is not cancelled"
     harness.submit("next", session="n")
@@ -164,14 +164,14 @@
 
 
 def test_lost_repeatable_request_is_cancelled_and_its_server_is_not_ejected():
-    harness = with_lost_request(api.Effect.SAFE)
+    harness = with_lost_request(api.Idempotency.SAFE)
     harness.run_timers(harness.now + S)
     assert harness.actions_of(api.Cancel) == [api.Cancel("lost", 1)]
     assert harness.router.servers[WRITER_A] in harness.router.available_servers((api.Role.WRITE,))
 
 
 def test_unsafe_request_at_a_silent_writer_is_not_cancelled():
-    harness = Harness(effect=api.Effect.UNSAFE)
+    harness = Harness(effect=api.Idempotency.UNSAFE)
     harness.submit()
     harness.outcome(Status.MISS, harness.sent()[0])
     harness.run_timers(harness.now + 3 * S)
@@ -369,7 +369,9 @@
     assert harness.sent() == [] and harness.final_answers() == [api.Refuse]
 
 
-@pytest.mark.parametrize("effect, end", [(api.Effect.SAFE, api.Refuse), (api.Effect.UNSAFE, api.Fail)])
+@pytest.mark.parametrize(
+    "effect, end", [(api.Idempotency.SAFE, api.Refuse), (api.Idempotency.UNSAFE, api.Fail)]
+)
 def test_request_that_cannot_be_retried_ends_in_the_same_event(effect, end):
     harness = Harness(effect=effect, max_attempts=2)
     harness.submit()
--- a/tests/test_hard_rules.py
+++ b/tests/test_hard_rules.py
@@ -8,7 +8,7 @@
 from conftest import FLEET, MS, READER_A, READER_B, WRITER_A, WRITER_B, Harness, S, entry
 
 from hoplane.decision import interface as api
-from hoplane.decision.interface import Effect, Status
+from hoplane.decision.interface import Idempotency, Status
 
 DID_NOT_RUN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
 MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
@@ -25,7 +25,7 @@
 
 
 def test_deadline_with_an_attempt_in_flight_ends_the_request():
-    harness = Harness(effect=Effect.UNSAFE)
+    harness = Harness(effect=Idempotency.UNSAFE)
     harness.submit()
     answers = [a for a in harness.run_timers(harness.now + 4 * S) if isinstance(a, api.Refuse | api.Fail)]
     assert answers == [api.Fail("r")]
@@ -61,7 +61,7 @@
 
 
 def test_started_stream_has_no_deadline():
-    harness, writer = sent_to_writer(Effect.UNSAFE)
+    harness, writer = sent_to_writer(Idempotency.UNSAFE)
     harness.first_token(writer)
     harness.run_timers(harness.now + 20 * S)
     assert harness.final_answers() == [] and harness.actions_of(api.Cancel) == []
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("status", DID_NOT_RUN)
-@pytest.mark.parametrize("effect", list(Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 def test_request_that_did_not_run_is_retried_at_another_writer(effect, status):
     harness, writer = sent_to_writer(effect)
     harness.outcome(status, writer, attempt=1)
@@ -96,20 +96,20 @@
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
 def test_unsafe_request_that_may_have_run_fails(status):
-    harness, writer = sent_to_writer(Effect.UNSAFE)
+    harness, writer = sent_to_writer(Idempotency.UNSAFE)
     harness.outcome(status, writer, attempt=1)
     assert harness.sent() == [] and harness.final_answers() == [api.Fail]
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
 def test_safe_request_that_may_have_run_is_retried(status):
-    harness, writer = sent_to_writer(Effect.SAFE)
+    harness, writer = sent_to_writer(Idempotency.SAFE)
     harness.outcome(status, writer, attempt=1)
     assert len(harness.sent()) == 1
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN)
-@pytest.mark.parametrize("effect", list(Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 def test_read_is_always_retried(effect, status):
     harness = Harness(effect=effect)
     harness.submit()
@@ -118,7 +118,7 @@
 
 
 def keyed_request(group, window=5 * S):
-    cls = api.ClassSettings("c", S, 4 * S, Effect.KEYED, group=group, window=window)
+    cls = api.ClassSettings("c", S, 4 * S, Idempotency.KEYED, group=group, window=window)
     fleet = FLEET + (entry(23, "writer", 0), entry(24, "writer", 1))
     harness = Harness(fleet=fleet, classes=(cls,))
     harness.submit()
@@ -266,7 +266,7 @@
 
 @pytest.mark.parametrize("status", [Status.FULL, *MAY_HAVE_RUN])
 def test_final_answer_after_a_read_releases_the_state(status):
-    harness, writer = sent_to_writer(Effect.UNSAFE, max_attempts=2)
+    harness, writer = sent_to_writer(Idempotency.UNSAFE, max_attempts=2)
     harness.outcome(status, writer, attempt=1)
     assert len(harness.final_answers()) == 1 and harness.actions_of(api.Release) == [api.Release("r")]
 
@@ -306,7 +306,7 @@
         ({"cold_share": 0.0}, "cold_share"),
         ({"max_attempts": 0}, "max_attempts"),
         ({"release_within": -1}, "release_within"),
-        ({"classes": (api.ClassSettings("c", -1, 1, Effect.SAFE),)}, "aim"),
+        ({"classes": (api.ClassSettings("c", -1, 1, Idempotency.SAFE),)}, "aim"),
     ],
 )
 def test_invalid_settings_are_named_in_the_error(change, name):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -18,8 +18,8 @@
 SETTINGS = api.Settings(
     kinds=(api.KindSettings("reader", api.Role.READ), api.KindSettings("writer", api.Role.WRITE)),
     classes=(
-        api.ClassSettings("safe", 10**9, 4 * 10**9, api.Effect.SAFE),
-        api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
+        api.ClassSettings("safe", 10**9, 4 * 10**9, api.Idempotency.SAFE),
+        api.ClassSettings("once", 10**9, 4 * 10**9, api.Idempotency.UNSAFE),
     ),
     cancel=True,
     reserve_ahead=True,
@@ -195,7 +195,7 @@
 @pytest.mark.parametrize("status", [Status.RESET, Status.FULL])
 def test_repeat_must_start_while_endpoints_still_discard_duplicates(status):
     """The decision module checks this only when it chooses, and connecting may take a while after that."""
-    cls = api.ClassSettings("keyed", 10**9, 4 * 10**9, api.Effect.KEYED, window=300_000_000)
+    cls = api.ClassSettings("keyed", 10**9, 4 * 10**9, api.Idempotency.KEYED, window=300_000_000)
     harness = ReducerHarness(classes=(cls,))
     harness.submit(cls="keyed")
     first = harness.finish_read()
--- a/tests/test_second_deployment.py
+++ b/tests/test_second_deployment.py
@@ -31,10 +31,10 @@
 
 def conductor(retry_after=False):
     classes = (
-        api.ClassSettings("c", 10**9, 4 * 10**9, api.Effect.SAFE),
-        api.ClassSettings("once", 10**9, 4 * 10**9, api.Effect.UNSAFE),
+        api.ClassSettings("c", 10**9, 4 * 10**9, api.Idempotency.SAFE),
+        api.ClassSettings("once", 10**9, 4 * 10**9, api.Idempotency.UNSAFE),
         *(
-            api.ClassSettings(f"keyed-{group.value}", 10**9, 4 * 10**9, api.Effect.KEYED, group=group)
+            api.ClassSettings(f"keyed-{group.value}", 10**9, 4 * 10**9, api.Idempotency.KEYED, group=group)
             for group in api.Group
         ),
     )
