--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -11,14 +11,14 @@
 import pytest
 from aiohttp import ClientConnectorError
 from standins import SETTINGS, Server, chat, entry, free_port, message, platform, within
-from test_runtime import let_go, start
+from test_runtime import accept_release, start_runtime
 
 from hoplane.core import release
 from hoplane.core.events import ClientDisconnected, Endpoint, Forward, Release, RequestReceived
 from hoplane.decision.interface import SERVER_NOT_AT_FAULT, State, Status
 from hoplane.fronts.platform import read_list
-from hoplane.net.pool import Drained, Pool, Sending
-from hoplane.net.wire import Call
+from hoplane.net.interface import Call
+from hoplane.net.pool import Pool, SendDeniedError, SendGate
 
 
 def endpoint(name, zone, address="127.0.0.1:1"):
@@ -45,17 +45,17 @@
 @pytest.mark.parametrize("failure", ["refused", "no socket"])
 def test_release_that_fails_at_all_endpoints_is_retried(failure):
     async def test():
-        server, port = Server(let_go), free_port()
+        server, port = Server(accept_release), free_port()
         there = SimpleNamespace(address=f"127.0.0.1:{port}")
-        runtime, listener = start(there, there), None
-        most = runtime.pool.most
+        runtime, listener = start_runtime(there, there), None
+        max_sockets = runtime.pool.max_sockets
         if failure == "no socket":
-            runtime.pool.most = 0
+            runtime.pool.max_sockets = 0
             listener = await asyncio.start_server(server.serve, "127.0.0.1", port)
         releasing = asyncio.create_task(runtime.release(Release("q", tuple(runtime.state.fleet.values()))))
         await asyncio.sleep(0.2)
         assert not releasing.done() and not server.calls
-        runtime.pool.most = most
+        runtime.pool.max_sockets = max_sockets
         listener = listener or await asyncio.start_server(server.serve, "127.0.0.1", port)
         await server.wait_for("DELETE /v1/holds/q")
         await within(releasing)
@@ -68,7 +68,7 @@
 def test_release_ends_once_a_response_has_started():
     async def test():
         unreachable = SimpleNamespace(address=f"127.0.0.1:{free_port()}")
-        runtime = start(unreachable, unreachable)
+        runtime = start_runtime(unreachable, unreachable)
         runtime.state.response_started = lambda id: True
         await within(runtime.release(Release("q", tuple(runtime.state.fleet.values()))), 3)
         await runtime.pool.close()
@@ -79,8 +79,8 @@
 @asynccontextmanager
 async def late_connections(read, address_of):
     """Yield a runtime with a request in flight; connects to one endpoint complete once the event is set."""
-    async with Server(read) as reader, Server(let_go) as writer:
-        runtime, connected, answered = start(reader, writer), asyncio.Event(), asyncio.Event()
+    async with Server(read) as reader, Server(accept_release) as writer:
+        runtime, connected, answered = start_runtime(reader, writer), asyncio.Event(), asyncio.Event()
         connect = runtime.pool.connector.connect
         delayed = {"reader": reader, "writer": writer}[address_of].address
 
@@ -93,22 +93,22 @@
         runtime.pool.connector.connect = late
         call = Call("POST", "/v1/chat/completions", {}, b"{}")
         runtime.exchanges["q"] = SimpleNamespace(
-            gone=False,
+            disconnected=False,
             call=lambda forward: call,
             refuse=lambda retry_after: answered.set(),
             fail=lambda duplicate: answered.set(),
             read_head=lambda *_: SimpleNamespace(status=None, load={}),
-            told=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
+            time_headers=lambda left: {"X-Left": str(left / timedelta(seconds=1))},
         )
         runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=4), session="s"))
         yield runtime, reader, writer, connected, answered
         runtime.feed(ClientDisconnected("q"))
-        await within(runtime.rest())
+        await within(runtime.wait_idle())
         await runtime.pool.close()
 
 
 async def never_read(call, writer):
-    await (asyncio.Event().wait() if call[0].startswith("POST /v1/chat") else let_go(call, writer))
+    await (asyncio.Event().wait() if call[0].startswith("POST /v1/chat") else accept_release(call, writer))
 
 
 def drain(runtime, name):
@@ -125,7 +125,7 @@
             drain(runtime, "w1")
             connected.set()
             await asyncio.sleep(0.1)
-            assert not writer.named("POST"), "neither a reservation nor anything else"
+            assert not writer.calls_to("POST"), "neither a reservation nor anything else"
 
     asyncio.run(test())
 
@@ -140,8 +140,8 @@
             runtime.feed(ClientDisconnected("q"))
             await within(reader.closed.get())
             connected.set()
-            await within(runtime.rest())
-            assert not writer.named("POST") and not runtime.state.requests
+            await within(runtime.wait_idle())
+            assert not writer.calls_to("POST") and not runtime.state.requests
 
     asyncio.run(test())
 
@@ -155,12 +155,12 @@
             if address_of == "writer":
                 await reader.wait_for("POST /v1/chat")
             await asyncio.sleep(0.05)
-            runtime.exchanges["q"].gone = True
+            runtime.exchanges["q"].disconnected = True
             connected.set()
             while runtime.state.requests:
                 await asyncio.sleep(0.01)
             delayed = {"reader": reader, "writer": writer}[address_of]
-            assert not delayed.named("POST") and not runtime.attempts
+            assert not delayed.calls_to("POST") and not runtime.attempts
 
     asyncio.run(within(test(), 20))
 
@@ -170,12 +170,12 @@
         async with late_connections(never_read, "reader") as (runtime, reader, writer, connected, _):
             events, feed = [], runtime.feed
             runtime.feed = lambda event: (events.append(event), feed(event))
-            (first,) = runtime.sent.values()
+            (first,) = runtime.gates.values()
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             past, future = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
             for until, allowed in ((past, False), (future, True), (None, True)):
                 forward = Forward("q", 1, endpoint, timedelta(seconds=4), is_read=False, repeat_until=until)
-                assert runtime.sending(forward).may() is allowed
+                assert runtime.make_gate(forward).may_send() is allowed
             assert not first.is_set() and not any(isinstance(each, ClientDisconnected) for each in events)
 
     asyncio.run(within(test(), 20))
@@ -199,7 +199,10 @@
         async with late_connections(never_read, "reader") as (runtime, *_):
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             for time_left, allowed in ((timedelta(), False), (timedelta(seconds=60), True)):
-                assert runtime.sending(Forward("q", 1, endpoint, time_left, is_read=False)).may() is allowed
+                assert (
+                    runtime.make_gate(Forward("q", 1, endpoint, time_left, is_read=False)).may_send()
+                    is allowed
+                )
 
     asyncio.run(within(test(), 20))
 
@@ -207,11 +210,11 @@
 def test_last_byte_of_an_at_most_once_request_is_withheld_if_the_client_disconnects():
     async def test():
         client_gone, body = False, b"{}"
-        sent = Sending(lambda: not client_gone)
-        pieces = Pool.held_back(body, sent)
+        sent = SendGate(lambda: not client_gone)
+        pieces = Pool.delay_last_byte(body, sent)
         assert await anext(pieces) == b"{"
         client_gone = True
-        with pytest.raises(Drained):
+        with pytest.raises(SendDeniedError):
             await anext(pieces)
         assert not sent.is_set(), "the request certainly never ran"
 
@@ -243,15 +246,15 @@
     }
 
     async def test():
-        async with full_listener() as (listener, fillers), Server(let_go) as writer:
+        async with full_listener() as (listener, fillers), Server(accept_release) as writer:
             entries = [
                 entry("r1", "{}:{}".format(*listener.getsockname()), "prefill"),
                 entry("w1", writer.address, "decode"),
             ]
             async with platform(tmp_path, entries, settings={**SETTINGS, **long_timeouts}) as program:
-                response = asyncio.create_task(program.ask(chat(left=9000)))
+                response = asyncio.create_task(program.send_request(chat(left=9000)))
                 await asyncio.sleep(0.2)
-                await program.discovery.tell([{**entries[0], "status": "Terminating"}, entries[1]])
+                await program.discovery.publish([{**entries[0], "status": "Terminating"}, entries[1]])
                 while (await program.line("endpoints"))["not_live"] != {"r1": "draining"}:
                     pass
                 received = []
@@ -302,9 +305,9 @@
         async with Server(read_and_stop) as reader, Server(full) as writer:
             entries = [entry("r1", reader.address, "prefill"), entry("w1", writer.address, "decode")]
             async with platform(tmp_path, entries) as program:
-                assert (await program.ask(chat(left=900)))[0].split()[1] == "503"
+                assert (await program.send_request(chat(left=900)))[0].split()[1] == "503"
                 assert await writer.wait_for("DELETE /v1/holds/r1")
-                await program.discovery.tell([{**each, "status": "Terminating"} for each in entries])
+                await program.discovery.publish([{**each, "status": "Terminating"} for each in entries])
                 while not (logged := await program.line("endpoints"))["not_live"]:
                     pass
                 assert set(logged["last_sent"]) == {"r1", "w1"}, "time of the last send to each endpoint"
@@ -337,8 +340,8 @@
 
             runtime.pool.request = fail
             forward = Forward("q", 7, endpoint, timedelta(seconds=4), is_read=True)
-            runtime.sent["q", 7] = Sending()
-            ended = await runtime.play(forward, runtime.exchanges["q"])
+            runtime.gates["q", 7] = SendGate()
+            ended = await runtime.run_attempt(forward, runtime.exchanges["q"])
             del runtime.pool.request
             assert (ended.status, ended.detail) == (Status.CONNECT_FAILED, expected_detail)
 
