--- a/hoplane/lab/__main__.py
+++ b/hoplane/lab/__main__.py
@@ -114,7 +114,7 @@
     raise SystemExit(1 if failed else 0)
 
 
-def run_soak(seed: int, conductors: int | None) -> soak.Outcome:
+def run_single_soak(seed: int, conductors: int | None) -> soak.Outcome:
     """Run one soak test. One that does not end is reported as a violation."""
     try:
         return soak.run_soak(seed, conductors)
@@ -141,7 +141,7 @@
     """Run random faults against real conductors, and check what clients and endpoints observed."""
     failed = void = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for result in pool.map(run_soak, range(first, first + seeds), [conductors] * seeds):
+        for result in pool.map(run_single_soak, range(first, first + seeds), [conductors] * seeds):
             line = asdict(result)
             failed, void = failed + bool(result.problems), void + result.void
             if out:
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -83,7 +83,7 @@
 
 def test_without_etcd_each_conductor_stays_within_its_floor_and_requests_continue():
     result = run_scenario(
-        FleetScenario(Schedule("gone", 2, 7, (Fault(0.0, 7, "engine", 0, {"pause_s": 7}),)), per_second=30)
+        FleetScenario(Schedule("outage", 2, 7, (Fault(0.0, 7, "engine", 0, {"pause_s": 7}),)), per_second=30)
     )
     assert result.violations == []
     floor = fleet_scenario.COLD_BUDGET * 0.3 / 2
