--- a/hoplane/core/events.py
+++ b/hoplane/core/events.py
@@ -1,5 +1,8 @@
 """The reducer's input events and the effects that it returns. Plain data without behaviour.
 
+Times are `timedelta` on the reducer's clock. `decision/interface.py` has classes of the same names, such as
+`Release`: they are the router's events and actions, in nanoseconds. The reducer converts between the two.
+
 `log_name` is a class's name in log lines. Operators' tools match it, so it stays when a class is renamed."""
 
 from __future__ import annotations
@@ -34,6 +37,7 @@
 class RequestReceived:
     """A client's request was accepted; it gets exactly one final answer.
 
+    The reducer's state of it is `reducer.Request`, the router's event is `interface.Request`.
     `idempotency_key` identifies a request that must not run twice; None for one that may."""
 
     log_name: ClassVar[str] = "Asked"
@@ -158,7 +162,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointReportedFailing:
-    """The fleet's shared error rate reports an endpoint as failing; the module avoids it for a while."""
+    """Outlier detection, shared by the conductors, reports an endpoint as failing; the router ejects it."""
 
     log_name: ClassVar[str] = "Judged"
 
@@ -199,7 +203,8 @@
 
     `at_most_once`: the request must not run twice, so the last byte is withheld as long as possible to know
     for certain that an attempt did not run.
-    `repeat_until`: the attempt must start before this time, when endpoints stop discarding duplicates."""
+    `repeat_until`: the end of the window in which endpoints discard duplicates; the attempt must start
+    before it."""
 
     log_name: ClassVar[str] = "Forward"
 
@@ -245,12 +250,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Release all state and reservations of a request. Any endpoint accepts the call.
+    """Release the read state and all reservations of a request. Any endpoint accepts the call.
 
     `endpoints`: those that took part in the request; they are tried first.
     `delay`: time to wait before the first call.
-    `held_since`: when something may first have been held, on the reducer's clock.
-    `repeat`: a read was cut off and may still complete later, so one release is not enough."""
+    `held_since`: since when read state or a reservation may be held, on the reducer's clock.
+    `repeat`: release again later, as a read was cut off and may still complete, and leave its state, after
+    the first release."""
 
     log_name: ClassVar[str] = "LetGo"
 
--- a/hoplane/core/handover.py
+++ b/hoplane/core/handover.py
@@ -26,7 +26,7 @@
 class HandoverDecision:
     """What a process has to do in a handover.
 
-    `superseded`: a newer process takes new clients, so this one drains.
+    `superseded`: a newer process accepts the new connections, so this one drains.
     `waiting`: an older process still has open requests, so this one doesn't report ready yet."""
 
     superseded: bool
--- a/hoplane/core/invariants.py
+++ b/hoplane/core/invariants.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from enum import Enum
 
-MAX_LATENESS = timedelta(milliseconds=500)  # an answer up to this long after its deadline is merely worthless
+MAX_LATENESS = timedelta(milliseconds=500)  # after its deadline an answer is useless, but no violation
 
 
 class Violation(Enum):
@@ -27,7 +27,10 @@
 
 
 class Invariants:
-    """Counts violations by kind, and tracks which requests still need their final answer."""
+    """Counts violations by kind, and tracks which requests still need their final answer.
+
+    The runtime calls the methods named after an event when it happens: they record the event and check that
+    it is permitted at this point. Those that can detect a violation return it, already counted."""
 
     def __init__(self) -> None:
         self.counts: Counter[Violation] = Counter()
@@ -44,25 +47,29 @@
         return violation
 
     def request_received(self, id: str, deadline: timedelta) -> None:
-        """Register a request that must get exactly one final answer."""
+        """Record the arrival of a request, which must get exactly one final answer."""
         self.deadlines[id] = deadline
 
     def final_answer_given(self, id: str, now: timedelta) -> Violation | None:
-        """Check that a final answer is the only one, and at most `MAX_LATENESS` after the deadline."""
+        """Record a final answer; check that it is the only one and at most `MAX_LATENESS` after the deadline.
+
+        Returns the violation, if any."""
         deadline = self.deadlines.pop(id, None)
         if deadline is None:
             return self.record(Violation.ANSWERED_TWICE)
         return self.record(Violation.ANSWERED_LATE) if now > deadline + MAX_LATENESS else None
 
     def response_started(self, id: str) -> None:
-        """Lift a request's deadline once its response has started."""
+        """Record the start of a request's response, after which its deadline no longer applies."""
         if id in self.deadlines:
             self.deadlines[id] = timedelta.max - MAX_LATENESS
 
     def client_disconnected(self, id: str) -> None:
-        """Drop a request whose client has disconnected: it needs no answer."""
+        """Record a client's disconnect: its request needs no answer."""
         self.deadlines.pop(id, None)
 
     def handler_ended(self, id: str) -> Violation | None:
-        """Check that a request's handler ended with an answer, or because its client disconnected."""
+        """Record the end of a request's handler; check that it answered or that its client disconnected.
+
+        Returns the violation, if any."""
         return self.record(Violation.ENDED_UNANSWERED) if self.deadlines.pop(id, None) is not None else None
--- a/hoplane/core/permits.py
+++ b/hoplane/core/permits.py
@@ -1,8 +1,9 @@
-"""Decides whether something may be sent, repeated, accepted or closed now; the only place for it. No I/O.
+"""Final checks before bytes are sent, a connection is closed or a request is accepted. No I/O.
 
-Each check is made twice: when the work is decided on, and again when it takes effect (bytes are handed to the
-system, the connection closes), since a wait, a signal or a list update may come between. A check returns None
-if the work may proceed, else the reason for denial, which the caller logs and counts.
+The choice of path and endpoint, and of retries, is made in `decision/router.py`. It is checked again here
+when it takes effect, since a wait, a signal or a list update may come between. The limits of memory, request
+size and connections are in `net/`. A check returns None if the work may proceed, else the reason for denial,
+which the caller logs and counts.
 
 Two facts of TCP matter here. Bytes handed to the system have not arrived yet, and closing a connection
 doesn't recall them; only a reset does (`net/pool.py`). So an abandoned attempt is reset."""
@@ -13,7 +14,8 @@
 from datetime import timedelta
 from enum import Enum
 
-# Since SIGTERM. What arrives 0.7 s after it must be answered before SIGKILL; the event loop may block 0.15 s.
+# Time from SIGTERM until new requests are refused. A request that arrives up to 0.7 s after SIGTERM must be
+# answered before SIGKILL, and the event loop may block for 0.15 s.
 REFUSE_AFTER = timedelta(milliseconds=500)
 
 
@@ -39,16 +41,17 @@
 
     SERVING = "serving"
     DRAINING = "draining"  # operator's LEAVE: requests are served, connections close after their response
-    LINGERING = "lingering"  # SIGTERM received, and clients don't know of it yet
-    ENDING = "ending"  # a request accepted from now on could be cut off by SIGKILL
+    GRACE_PERIOD = "lingering"  # after SIGTERM: requests are still served, as clients still send them here
+    REFUSING = "ending"  # after `REFUSE_AFTER`: new requests are refused, as SIGKILL could cut them off
 
 
 @dataclass(slots=True, frozen=True)
 class SendConditions:
     """Conditions of a send, all as of now.
 
-    `deadline` and `repeat_until` are times on the reducer's clock, or None if there is none. `read_in_flight`
-    is None if the send does not depend on a read (a reservation is made only during one)."""
+    `deadline` and `repeat_until` are times on the reducer's clock, or None if there is none.
+    `repeat_until` is the end of the window in which endpoints discard duplicates.
+    `read_in_flight` is None if the send does not depend on a read (a reservation is made only during one)."""
 
     now: timedelta
     client_gone: bool
@@ -61,7 +64,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RepeatConditions:
-    """Conditions of another attempt. `may_have_run`: an earlier attempt reached a writer, or may have."""
+    """Conditions of another attempt.
+
+    `repeatable`: the attempt is a read, or running the request twice does no harm (its class isn't UNSAFE).
+    `may_have_run`: an earlier attempt reached a writer, or may have."""
 
     repeatable: bool
     may_have_run: bool
@@ -71,7 +77,7 @@
 
 def may_accept(phase: Phase) -> Denial | None:
     """Check whether a request that was just read may be accepted."""
-    return Denial.STOPPING if phase is Phase.ENDING else None
+    return Denial.STOPPING if phase is Phase.REFUSING else None
 
 
 def may_send(conditions: SendConditions) -> Denial | None:
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -1,4 +1,7 @@
-"""The reducer. All changes to the state of requests, attempts, reservations and the fleet happen here."""
+"""The reducer. All changes to the state of requests, attempts, reservations and the fleet happen here.
+
+Read state is a prompt's KV state at the endpoint that read it; a writer fetches it, or it must be released.
+The router (`decision/router.py`) decides where requests go; the reducer carries its actions out."""
 
 from __future__ import annotations
 
@@ -21,51 +24,66 @@
 from hoplane.decision.state import retune
 
 ANSWERED_STATUSES = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
+# Unlike the router's MAY_HAVE_RUN, this includes OK: the core also records that a request has run, whereas
+# the router only decides on retries after a failure.
 MAY_HAVE_RUN_STATUSES = (Status.OK, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 # Delay of a release after an interrupted attempt, so that the close of its connection arrives first.
 INTERRUPTED_RELEASE_DELAY = timedelta(milliseconds=15)
 DEFAULT_HOLD_LIMIT = timedelta(milliseconds=500)  # if the settings give no limit
 RELEASE_LEAD = timedelta(milliseconds=100)  # before the limit, for the network and a busy event loop
-# A reservation may exist since 300 ms before an answer "unknown"; the part not deducted here is slack.
-UNKNOWN_ANSWER_LEAD = timedelta(milliseconds=200)
-DEADLINE_GRACE = timedelta(milliseconds=5)  # after the deadline, which the decision module enforces itself
+# Deducted from the hold limit after a reservation call was answered "unknown" (the endpoint had not received
+# the read): the reservation may exist since 300 ms before that answer. The 100 ms not deducted are slack.
+UNKNOWN_RESERVATION_LEAD = timedelta(milliseconds=200)
+DEADLINE_GRACE = timedelta(milliseconds=5)  # after the deadline, which the router enforces itself
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt of a request at an endpoint."""
+    """One attempt of a request at an endpoint, as the core tracks its connection.
+
+    `decision.state.Attempt` has the router's estimates of the same attempt.
+    `response_started`: its first event goes to the client, so the request is bound to it.
+    `ended`: nothing of it is in flight; its connection is idle or closed.
+    `answered`: it has ended with an answer of the endpoint, of success or failure."""
 
     server: int
     is_read: bool
     sent_at: timedelta
     response_started: bool = False
     ended: bool = False
-    answered: bool = False  # the endpoint answered, so it was reached
+    answered: bool = False
     abandon_status: Status | None = None  # set when abandoned: its status once the connection is closed
 
 
 @dataclass(slots=True)
 class Request:
-    """A request, from its arrival until its last attempt and reservation call have ended."""
+    """A request, from its arrival until its last attempt and reservation call have ended.
+
+    `received` is the event of its arrival; `decision.state.Job` has the router's state of the same request.
+    `response_started`: the client is receiving a response. `closed`: the request has its final answer (for a
+    response, its end) or its client has disconnected, so nothing new is sent for it."""
 
     received: ev.RequestReceived
     received_at: timedelta
     deadline: timedelta
     max_attempts: int | None = None  # this and the class are from the settings at its arrival
     class_settings: api.ClassSettings | None = None
-    repeat_until: timedelta | None = None  # once it may have run: until when endpoints discard duplicates
+    repeat_until: timedelta | None = None  # end of the window in which endpoints discard duplicates
     attempts: list[Attempt] = field(default_factory=list)
     response_started: bool = False
-    closed: bool = False  # the client has its answer, is receiving it, or has disconnected
+    closed: bool = False
     answer_pending: bool = False  # closed because the process ends, and not yet answered
     pending_reservations: int = 0  # reservation calls in flight
-    interrupted: bool = False  # an attempt or reservation call was cut off; its state may appear later
-    held_since: timedelta | None = None  # when state may first have been held; None while being released
+    interrupted: bool = False  # an attempt or reservation call was cut off; it may still take effect later
+    held_since: timedelta | None = None  # since when read state may be held; None while being released
     may_have_run: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Return whether the request may be refused although it may have run."""
+        """Return whether the request may be refused although it may have run.
+
+        True if its class is SAFE, or if all endpoints discard its duplicates. The `repeatable` of
+        `permits.RepeatConditions` is weaker: true for a read, and for any class but UNSAFE."""
         return self.class_settings is None or self.class_settings.repeatable
 
     def has_effect(self, effect: api.Effect) -> bool:
@@ -74,8 +92,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HeldStateTimer:
-    """Timer for state that a request may hold at endpoints: released unless a response has started."""
+class ReadStateTimer:
+    """Timer for read state that a request may hold at endpoints: released unless a response has started."""
 
     id: str
     held_since: timedelta
@@ -108,10 +126,10 @@
         listed = self.fleet.get(self.server_ids.get(endpoint.name))
         return listed is not None and listed.state is api.State.LIVE
 
-    def may_send(
+    def send_denial(
         self, effect: ev.Forward | ev.Reserve, now: timedelta, client_gone: bool, deadline: timedelta | None
     ) -> Denial | None:
-        """Check whether bytes of an attempt or a reservation call may be sent now; see `core/permits.py`."""
+        """Return why bytes of an attempt or a reservation call may not be sent now, or None if they may."""
         request, attempt = self.requests.get(effect.id), None
         if request is not None and effect.attempt < len(request.attempts):
             attempt = request.attempts[effect.attempt]
@@ -130,22 +148,24 @@
         )
 
     def response_started(self, id: str) -> bool:
-        """Return whether a request's response has started; endpoints then release all that it held."""
+        """Return whether a request's response has started; endpoints then release its state themselves."""
         request = self.requests.get(id)
         return request is not None and request.response_started
 
     def hold_limit(self) -> timedelta:
-        """Return how long state may be held before its release starts."""
+        """Return how long read state may be held before its release starts."""
         limit_ns = self.settings.release_within
         limit = DEFAULT_HOLD_LIMIT if limit_ns is None else to_timedelta(limit_ns)
         return max(limit / 2, limit - RELEASE_LEAD)
 
     def reservation_release_delay(self) -> timedelta:
-        """Return the time from an answer "unknown" to the release of a reservation that may exist."""
+        """Return the time from an answer "unknown" to the release of a reservation that may exist.
+
+        "Unknown" means that the endpoint had not received the read."""
         limit_ns = self.settings.release_within
         return max(
             ev.ZERO,
-            (DEFAULT_HOLD_LIMIT if limit_ns is None else to_timedelta(limit_ns)) - UNKNOWN_ANSWER_LEAD,
+            (DEFAULT_HOLD_LIMIT if limit_ns is None else to_timedelta(limit_ns)) - UNKNOWN_RESERVATION_LEAD,
         )
 
     def server_id(self, name: str) -> int:
@@ -174,10 +194,10 @@
             released.add(each.id)
 
 
-def run_module(state: ConductorState, now: timedelta, event: api.Event) -> Iterator[ev.Effect]:
-    """Pass an event to the decision module and yield its actions as effects.
+def run_router(state: ConductorState, now: timedelta, event: api.Event) -> Iterator[ev.Effect]:
+    """Pass an event to the router and yield its actions as effects.
 
-    The outcome of a send that can't be started is passed back to the module at once."""
+    The outcome of a send that can't be started is passed back to the router at once."""
     pending = [event]
     while pending:
         for action in state.router.handle(to_ns(now), pending.pop(0)):
@@ -214,7 +234,7 @@
         event, now, now + event.time_left, current.max_attempts, class_settings
     )
     yield ev.SetTimer(now + event.time_left + DEADLINE_GRACE, (event.id, None, now))
-    yield from run_module(
+    yield from run_router(
         state,
         now,
         api.Request(
@@ -249,7 +269,7 @@
     was_open = not request.closed
     request.closed = True
     if was_open:
-        yield from run_module(state, now, api.ClientDisconnected(request.received.id))
+        yield from run_router(state, now, api.ClientDisconnected(request.received.id))
     for index in range(len(request.attempts)):
         yield from abandon(request, index, Status.CANCELLED)
     yield from finish_request(state, now, request.received.id)
@@ -258,20 +278,20 @@
 def on_response_started(
     state: ConductorState, now: timedelta, event: ev.ResponseStarted
 ) -> Iterator[ev.Effect]:
-    """Commit the request to this attempt; its deadline no longer applies."""
+    """Bind the request to this attempt; its deadline no longer applies."""
     request = state.requests.get(event.id)
     if request is None or request.closed:
         return
     attempt = request.attempts[event.attempt]
     attempt.response_started = request.response_started = True
     request.held_since = None
-    yield from run_module(
+    yield from run_router(
         state, now, api.FirstToken(event.id, event.attempt, attempt.server, to_ns(now - attempt.sent_at))
     )
 
 
 def on_attempt_ended(state: ConductorState, now: timedelta, event: ev.AttemptEnded) -> Iterator[ev.Effect]:
-    """Record the end of an attempt and pass its outcome to the decision module."""
+    """Record the end of an attempt and pass its outcome to the router."""
     request = state.requests.get(event.id)
     if request is None or request.attempts[event.attempt].ended:
         return
@@ -296,8 +316,8 @@
             request.repeat_until = attempt.sent_at + to_timedelta(request.class_settings.window)
     yield from release_overdue(state, now, request)
     if not request.response_started and status is not Status.CONNECT_FAILED:
-        yield from track_held_state(state, now, request, attempt, status)
-    yield from run_module(
+        yield from track_read_state(state, now, request, attempt, status)
+    yield from run_router(
         state,
         now,
         api.Outcome(
@@ -317,9 +337,9 @@
 def on_reservation_finished(
     state: ConductorState, now: timedelta, event: ev.ReservationFinished
 ) -> Iterator[ev.Effect]:
-    """Pass the result of a reservation to the decision module while its read is in flight.
+    """Pass the result of a reservation to the router while its read is in flight.
 
-    A reservation that may exist without our knowledge is released at the end."""
+    A reservation that may exist unconfirmed is released at the end of the request."""
     request = state.requests.get(event.id)
     if request is None:
         return
@@ -327,17 +347,17 @@
     request.interrupted = request.interrupted or event.reserved is None
     attempt = request.attempts[event.attempt]
     if event.reserved is None and not event.unanswered and not attempt.ended and not request.closed:
-        # The endpoint didn't know the read: it has not arrived, or arrived after the reservation call. If it
-        # is still in flight when the hold limit is near, it may never have arrived, and nothing but a release
-        # of our own would end the reservation in time.
+        # The answer "unknown": the endpoint had not received the read when it handled the reservation call.
+        # If the read is still in flight when the hold limit is near, the endpoint may never receive it, and
+        # only a release by this conductor ends the reservation in time.
         yield ev.SetTimer(
             now + state.reservation_release_delay(),
             ReservationTimer(request.received.id, event.attempt, request.received_at),
         )
     if event.reserved is not False and attempt.ended and not request.response_started:
-        yield from start_hold_timer(state, now, request)
+        yield from start_read_state_timer(state, now, request)
     if event.reserved is not None and not attempt.ended:
-        yield from run_module(
+        yield from run_router(
             state, now, api.ReservationResult(event.id, event.attempt, attempt.server, event.reserved)
         )
     elif request.closed and not request.response_started and event.reserved is not False:
@@ -346,21 +366,21 @@
 
 
 def on_probe_finished(state: ConductorState, now: timedelta, event: ev.ProbeFinished) -> Iterator[ev.Effect]:
-    """Pass the result of a health probe to the decision module."""
+    """Pass the result of a health probe to the router."""
     if event.server in state.fleet:
-        yield from run_module(
+        yield from run_router(
             state, now, api.ProbeResult(event.server, event.status, to_ns(event.duration), event.load)
         )
 
 
 def on_timer_fired(state: ConductorState, now: timedelta, event: ev.TimerFired) -> Iterator[ev.Effect]:
-    """Handle a timer of the decision module (an int), or one of the core.
+    """Handle a timer of the router (an int), or one of the core.
 
     Those of the core are the timer classes above, or tuples: an attempt's timeout, the client's deadline."""
     if isinstance(event.timer, int):
-        yield from run_module(state, now, api.TimerFired(event.timer))
+        yield from run_router(state, now, api.TimerFired(event.timer))
         return
-    if isinstance(event.timer, HeldStateTimer):
+    if isinstance(event.timer, ReadStateTimer):
         if (request := state.requests.get(event.timer.id)) and request.held_since == event.timer.held_since:
             yield from release_overdue(state, now, request)
         return
@@ -380,7 +400,7 @@
     if attempt is not None:
         yield from abandon(request, attempt, Status.TIMEOUT)
     elif not request.closed:
-        # The decision module's own timeouts fire earlier; this one is for a request that it lost track of.
+        # The router's own timeouts fire earlier; this one is for a request that it lost track of.
         for index in range(len(request.attempts)):
             yield from abandon(request, index, Status.TIMEOUT)
         yield from fail(state, now, api.Fail(id))
@@ -412,7 +432,7 @@
     )
     states = {each.name: each.state.value for each in known.values() if each.state is not api.State.LIVE}
     yield ev.WriteLog("endpoints", {"whole": event.complete, "known": len(state.fleet), "not_live": states})
-    yield from run_module(state, now, api.ServerListUpdate(entries, event.complete))
+    yield from run_router(state, now, api.ServerListUpdate(entries, event.complete))
 
 
 def on_settings_reloaded(
@@ -439,10 +459,11 @@
 def on_endpoint_reported_failing(
     state: ConductorState, now: timedelta, event: ev.EndpointReportedFailing
 ) -> Iterator[ev.Effect]:
-    """Pass the report to the decision module as a peer message, which makes it avoid the endpoint."""
+    """Pass the report to the router, which ejects the endpoint."""
+    # The router handles a report of the fleet like a peer message; here it is one from its own process.
     server_id = state.server_ids.get(event.endpoint)
     if server_id in state.fleet:
-        yield from run_module(state, now, api.PeerMessage(0, PeerReport(Symptom.DOWN, server_id).pack()))
+        yield from run_router(state, now, api.PeerMessage(0, PeerReport(Symptom.DOWN, server_id).pack()))
 
 
 def on_request_interrupted(
@@ -532,7 +553,7 @@
 
 
 def release(state: ConductorState, now: timedelta, action: api.Release) -> Iterator[ev.Effect]:
-    """Release held state. Once a response has started, the endpoints have released everything themselves."""
+    """Release read state and reservations; once a response has started, the endpoints do so themselves."""
     request = state.requests.get(action.request_id)
     if request is not None and not request.response_started:
         yield build_release(state, request)
@@ -597,32 +618,33 @@
         yield ev.AbandonAttempt(request.received.id, index)
 
 
-def track_held_state(
+def track_read_state(
     state: ConductorState, now: timedelta, request: Request, attempt: Attempt, status: Status
 ) -> Iterator[ev.Effect]:
-    """Track state that an ended attempt may have left; that of an interrupted read is released at once.
+    """Track read state that an ended attempt may have left; that of an interrupted read is released at once.
 
-    Nobody can use the state of an interrupted read."""
+    No writer can use the state of an interrupted read."""
     if attempt.is_read and status in MAY_HAVE_RUN_STATUSES:
         request.held_since = now
         yield build_release(state, request)
     elif attempt.answered or request.held_since is None:
-        # Otherwise the writer may never have received the request, and the earlier hold time still applies.
-        yield from start_hold_timer(state, now, request)
+        # Otherwise the writer may never have received the request, and the earlier time still applies.
+        yield from start_read_state_timer(state, now, request)
 
 
-def start_hold_timer(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
-    """Record that state may be held from now on, and set the timer for its release."""
+def start_read_state_timer(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
+    """Record that read state may be held from now on, and set the timer for its release."""
     request.held_since = now
-    yield ev.SetTimer(now + state.hold_limit(), HeldStateTimer(request.received.id, now))
+    yield ev.SetTimer(now + state.hold_limit(), ReadStateTimer(request.received.id, now))
 
 
 def release_overdue(state: ConductorState, now: timedelta, request: Request) -> Iterator[ev.Effect]:
-    """Release state held for the permitted time, even if an attempt at a writer is in flight.
+    """Release read state held for the permitted time, even if an attempt at a writer is in flight.
 
     If writers are partitioned, attempts never reach them but seem to be in flight, and the state of the read
-    would stay held. By the protocol, a release doesn't drop state that an attempt is actually waiting for. A
-    read waits for no reservation, so nothing is overdue while one is in flight."""
+    would never be released. An endpoint that receives a release doesn't drop state that an attempt which has
+    reached a writer waits for, so the release is safe. A read waits for no reservation, so nothing is overdue
+    while one is in flight."""
     reading = any(attempt.is_read and not attempt.ended for attempt in request.attempts)
     if request.held_since is not None and now >= request.held_since + state.hold_limit() and not reading:
         yield build_release(state, request)
@@ -631,7 +653,7 @@
 def build_release(state: ConductorState, request: Request) -> ev.Release:
     """Build the release: at endpoints of the request that answered, then the last one if it was abandoned.
 
-    Other endpoints of it could not be reached, and trying each of them in turn would use up the time."""
+    Its other endpoints could not be reached, and trying them one after the other would use up the time."""
     held_since, request.held_since = request.held_since, None
     last_abandoned = [attempt.server for attempt in request.attempts[-1:] if attempt.abandon_status]
     answered = [attempt.server for attempt in reversed(request.attempts) if attempt.answered]
--- a/hoplane/core/statistics.py
+++ b/hoplane/core/statistics.py
@@ -6,7 +6,9 @@
 
 from hoplane.decision.interface import State
 
-OUTCOMES = ("answered", "deferred", "errored")  # final answers of requests, counted for each class
+# Outcomes of requests, counted for each class. Operators' tools read these names, so they stay: "deferred"
+# means refused, "errored" means failed.
+OUTCOMES = ("answered", "deferred", "errored")
 
 
 @dataclass(slots=True)
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -302,7 +302,7 @@
             exchange = self.exchanges.get(effect.id)
             disconnected = exchange is None or exchange.disconnected
             return self.handle_denial(
-                effect, self.state.may_send(effect, self.clock.now(), disconnected, deadline)
+                effect, self.state.send_denial(effect, self.clock.now(), disconnected, deadline)
             )
 
         def spend() -> bool:
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -206,7 +206,7 @@
     def phase(self) -> Phase:
         """The phase of this process's life."""
         if self.stopping:
-            return Phase.ENDING if self.refusing else Phase.LINGERING
+            return Phase.REFUSING if self.refusing else Phase.GRACE_PERIOD
         return Phase.SERVING if self.draining_since is None else Phase.DRAINING
 
     def may_start(self) -> Denial | None:
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -103,7 +103,7 @@
                 assert not self.answers and not self.client_gone, (
                     "nothing is sent for a request that has ended"
                 )
-                allowed = self.harness.state.may_send(each, self.harness.now, False, None)
+                allowed = self.harness.state.send_denial(each, self.harness.now, False, None)
                 assert allowed is None, "an attempt may be sent at the moment of the decision"
                 self.open_attempts.add(each.attempt)
                 self.writes += not each.is_read
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -8,7 +8,7 @@
 
 from hoplane.core import events as ev
 from hoplane.core.idempotency import IdempotencyStore
-from hoplane.core.reducer import ConductorState, HeldStateTimer, reduce
+from hoplane.core.reducer import ConductorState, ReadStateTimer, reduce
 from hoplane.core.time_conversion import to_ns, to_timedelta
 from hoplane.decision import interface as api
 from hoplane.decision.interface import State, Status
@@ -162,7 +162,7 @@
     harness.submit()
     write, held_since = harness.finish_read(reservations=0), harness.now
     (set_timer,) = [
-        each for each in harness.effects_of(ev.SetTimer) if isinstance(each.timer, HeldStateTimer)
+        each for each in harness.effects_of(ev.SetTimer) if isinstance(each.timer, ReadStateTimer)
     ]
     assert set_timer.at <= held_since + 450 * MS
     harness.apply(ev.AttemptEnded("q", write.attempt, Status.CONNECT_FAILED), 250 * MS)
@@ -178,7 +178,7 @@
     harness.apply(ev.ReservationFinished("q", 0, True))
     harness.finish_read(reservations=0)
     (set_timer,) = [
-        each for each in harness.effects_of(ev.SetTimer) if isinstance(each.timer, HeldStateTimer)
+        each for each in harness.effects_of(ev.SetTimer) if isinstance(each.timer, ReadStateTimer)
     ]
     harness.apply(ev.ResponseStarted("q", 1), MS)
     assert not harness.apply(ev.TimerFired(set_timer.timer), SECOND)
