--- a/hoplane/core/handover.py
+++ b/hoplane/core/handover.py
@@ -14,12 +14,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Peer:
-    """Heartbeat of a process. `open_requests` counts its requests that are not yet answered."""
+    """Latest heartbeat of a process. `open_requests` counts its requests that are not yet answered.
+
+    Times are on the machine's monotonic clock; `heartbeat_at` is when the heartbeat was written."""
 
     pid: int
     started_at: timedelta
     open_requests: int
-    reported_at: timedelta
+    heartbeat_at: timedelta
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +41,7 @@
     The old process is stopped once the new one reports ready, and killed soon after. So that SIGKILL doesn't
     cut its streams, the new one reports ready only once the old one has no open requests, or after
     `MAX_READINESS_DELAY`."""
-    live = [peer for peer in peers if peer.pid != pid and now - peer.reported_at < HEARTBEAT_TIMEOUT]
+    live = [peer for peer in peers if peer.pid != pid and now - peer.heartbeat_at < HEARTBEAT_TIMEOUT]
     own_order = (started_at, pid)
     superseded = any((peer.started_at, peer.pid) > own_order for peer in live)
     older_open = any((peer.started_at, peer.pid) < own_order and peer.open_requests > 0 for peer in live)
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -222,7 +222,7 @@
         self.config, self.runtime = config, runtime
         self.know(config.settings)
         self.server, self.runtimes = Server(config, self.handle, error_response), [runtime]
-        self.server.break_off = self.break_off
+        self.server.interrupt_requests = self.break_off
         self.server.http_server.report_violation = runtime.report_violation
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -59,9 +59,9 @@
         complete = bool(response.get("snapshot"))
         listed = self.parse(response)
         if not complete and self.index is not None and response["index"] < self.index:
-            # The agent was restarted: its changes belong to an unknown list, and the complete one is
-            # requested. Drains among them are applied already, as they count as reported by now and do no
-            # harm.
+            # The agent was restarted: its changes apply to a list that is unknown here, so the complete list
+            # is requested next. Drains among the changes are applied at once: they count as reported by now,
+            # and a drain does no harm if the rest of the list is unknown.
             log.write_event("list_went_back", index=response["index"], known=self.index)
             self.index = None
             drains = tuple(each for each in listed.endpoints if each.state is not State.LIVE)
@@ -74,35 +74,35 @@
         return len(listed.endpoints)
 
     @property
-    def superseded(self) -> bool:
-        """Whether a later watch has received a response, however many reloads lie between."""
+    def successor_responded(self) -> bool:
+        """Whether a watch that replaces this one, at once or after further reloads, has a response."""
         successor = self.successor
         while successor is not None and not successor.responded.is_set():
             successor = successor.successor
         return successor is not None
 
     async def wait_until_ready(self) -> None:
-        """Wait for the first response; if discovery is silent, the known list has to do.
+        """Wait for the first response; without one in time, start with the list known from before.
 
-        Otherwise requests would be served by a list as old as the previous process, although changes since
-        then count as reported from the start of this one.
+        Without the wait, requests would be served by a list as old as the previous process, although changes
+        since then count as reported from the start of this one.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(self.pacing.first_answer_timeout.total_seconds()):
                 await self.responded.wait()
 
     async def watch(self) -> None:
-        """Watch until cancelled or replaced by a successor.
+        """Watch until cancelled, or until a reload has replaced this watch and its last call is completed.
 
         A list that has arrived but is not read yet when a reload replaces the watch counts as reported, even
-        if the next agent does not respond. So the last call is completed.
+        if the next agent does not respond.
         """
         loop = asyncio.get_running_loop()
         last_success = loop.time()  # when the last successful call started
         while self.successor is None:
             started_at = loop.time()
-            silent = await self.poll()
-            if silent is None:
+            timed_out = await self.poll()
+            if timed_out is None:
                 last_success = started_at
                 self.pacing.succeeded()
                 self.responded.set()
@@ -111,13 +111,13 @@
                 self.failing = False
             else:
                 since_success = timedelta(seconds=loop.time() - last_success)
-                await asyncio.sleep(self.pacing.failed(silent, since_success).total_seconds())
+                await asyncio.sleep(self.pacing.failed(timed_out, since_success).total_seconds())
 
     async def poll(self) -> bool | None:
         """Make one call and process the response; if it fails, return whether there was no response."""
-        path, (hold_time, response_timeout) = "/registry/instances", self.pacing.next_call()
+        path, (long_poll_wait, response_timeout) = "/registry/instances", self.pacing.next_call()
         if self.index is not None:
-            path += f"?since={self.index}&timeout_ms={hold_time // timedelta(milliseconds=1)}"
+            path += f"?since={self.index}&timeout_ms={long_poll_wait // timedelta(milliseconds=1)}"
         self.pool.counters["lists" if self.index is None else "watches"] += 1
         try:
             async with asyncio.timeout(response_timeout.total_seconds()):
@@ -125,7 +125,7 @@
                     body = await response.read()
             if response.status != 200:
                 raise ValueError(f"status {response.status}")
-            if not self.superseded:
+            if not self.successor_responded:
                 self.pool.counters["list_lines"] += self.process_response(orjson.loads(body))
         except Exception as error:
             self.pool.counters["watches_failed"] += 1
--- a/hoplane/net/handover.py
+++ b/hoplane/net/handover.py
@@ -1,4 +1,7 @@
-"""Exchanges the state of processes that share an inherited socket through files in `$TMPDIR`."""
+"""Exchanges the heartbeats of processes that share an inherited socket, as files in `$TMPDIR`.
+
+The decision on a handover is made in `core/handover.py`.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 from hoplane import log
 from hoplane.core.handover import HandoverDecision, Peer, decide_handover
 
-REPORT_INTERVAL = timedelta(milliseconds=100)
+HEARTBEAT_INTERVAL = timedelta(milliseconds=100)
 FILE_PREFIX = "hoplane-process-"
 
 
@@ -29,24 +32,25 @@
     return timedelta(seconds=time.time())
 
 
-def read_peer(report: dict, modified_at: timedelta, wall_now: timedelta, monotonic_now: timedelta) -> Peer:
-    """Read the state that a process has reported, in times of the monotonic clock.
+def read_peer(heartbeat: dict, modified_at: timedelta, wall_now: timedelta, monotonic_now: timedelta) -> Peer:
+    """Convert the heartbeat that another process has written, to times of the monotonic clock.
 
-    Releases before 0.5 report wall-clock times only: `modified_at`, the modification time of the file, and
+    The keys are the file format, which processes of other releases read and write, so they stay.
+    Releases before 0.5 write wall-clock times only: `modified_at`, the modification time of the file, and
     the start time are converted by their age.
     """
-    if "monotonic_told" in report:
-        started_at, reported_at = (
-            timedelta(seconds=float(report[key])) for key in ("monotonic_born", "monotonic_told")
+    if "monotonic_told" in heartbeat:
+        started_at, heartbeat_at = (
+            timedelta(seconds=float(heartbeat[key])) for key in ("monotonic_born", "monotonic_told")
         )
     else:
-        started_at = monotonic_now - (wall_now - timedelta(seconds=float(report["born"])))
-        reported_at = monotonic_now - (wall_now - modified_at)
-    return Peer(int(report["pid"]), started_at, int(report["open"]), reported_at)
+        started_at = monotonic_now - (wall_now - timedelta(seconds=float(heartbeat["born"])))
+        heartbeat_at = monotonic_now - (wall_now - modified_at)
+    return Peer(int(heartbeat["pid"]), started_at, int(heartbeat["open"]), heartbeat_at)
 
 
 class Handover:
-    """Reports this process, reads the reports of the others, and acts on the decision."""
+    """Writes this process's heartbeats, reads those of the others, and acts on the decision."""
 
     def __init__(
         self, directory: Path, count_open_requests: Callable[[], int], start_handover: Callable[[], None]
@@ -68,19 +72,22 @@
         return self.decision.waiting
 
     async def run(self) -> None:
-        """Report and check until cancelled; the file is removed when the process ends."""
+        """Write heartbeats and check those of the others until cancelled; then remove this process's file."""
         try:
             while True:
-                self.write_report()
+                self.write_heartbeat()
                 self.check_peers()
-                await asyncio.sleep(REPORT_INTERVAL.total_seconds())
+                await asyncio.sleep(HEARTBEAT_INTERVAL.total_seconds())
         finally:
             with suppress(OSError):
                 self.path.unlink()
 
-    def write_report(self) -> None:
-        """Write this process's report, replacing the previous file atomically."""
-        report = {
+    def write_heartbeat(self) -> None:
+        """Write this process's heartbeat, replacing the previous file atomically.
+
+        `born` is the start time on the wall clock, `monotonic_told` the time of the heartbeat.
+        """
+        heartbeat = {
             "pid": self.pid,
             "born": self.started_at_wall.total_seconds(),
             "open": self.count_open_requests(),
@@ -89,24 +96,24 @@
         }
         new = self.path.with_suffix(".new")
         try:
-            new.write_bytes(orjson.dumps(report))
+            new.write_bytes(orjson.dumps(heartbeat))
             new.replace(self.path)
         except OSError as error:
             log.write_event_limited("handover_unwritten", error=str(error))
 
     def peers(self) -> list[Peer]:
-        """Read the reports of the others; an unreadable file is ignored."""
+        """Read the heartbeats of all processes; an unreadable file is ignored."""
         found = []
         with suppress(OSError):
             for path in self.directory.glob(f"{FILE_PREFIX}*.json"):
                 with suppress(OSError, ValueError, KeyError, TypeError):
-                    report = orjson.loads(path.read_bytes())
+                    heartbeat = orjson.loads(path.read_bytes())
                     modified_at = timedelta(seconds=path.stat().st_mtime)
-                    found.append(read_peer(report, modified_at, wall_clock(), monotonic()))
+                    found.append(read_peer(heartbeat, modified_at, wall_clock(), monotonic()))
         return found
 
     def check_peers(self) -> None:
-        """Decide again, and start draining once a newer process is there."""
+        """Decide again, and start the handover once there is a newer process."""
         self.decision = decide_handover(self.pid, self.started_at, self.peers(), monotonic())
         if self.decision.superseded and not self.handover_started:
             self.handover_started = True
--- a/hoplane/net/interface.py
+++ b/hoplane/net/interface.py
@@ -32,45 +32,78 @@
 
 
 class Sink(Protocol):
-    """Destination of a response."""
+    """Destination of a response, implemented by each front for its protocol.
 
-    buffered: bool  # the response is passed on as one event, once its last byte is there
+    A buffered response uses `is_complete`, `start`, `write` and `finish` only.
+    """
+
+    buffered: bool  # the response is passed on as one event, once its last byte has arrived
     done: asyncio.Future  # set with the final response
 
-    def is_complete(self, data: bytes) -> bool: ...
+    def is_complete(self, data: bytes) -> bool:
+        """Return whether a buffered response was received to its end."""
+        ...
 
-    def reset(self) -> None: ...
+    def reset(self) -> None:
+        """Discard the data of an earlier attempt before the stream of a new one."""
+        ...
 
-    def push(self, data: bytes) -> bytes: ...
+    def push(self, data: bytes) -> bytes:
+        """Take received bytes; return the complete events that may be sent now, or nothing."""
+        ...
 
-    def flush(self, has_framing: bool) -> bytes: ...
+    def flush(self, has_framing: bool) -> bytes:
+        """Return the rest at the stream's end; raise if it is truncated or malformed."""
+        ...
 
-    async def start(self) -> None: ...
+    async def start(self) -> None:
+        """Send the response's head to the client."""
+        ...
 
-    async def write(self, data: bytes) -> None: ...
+    async def write(self, data: bytes) -> None:
+        """Send data of the response to the client."""
+        ...
 
-    async def finish(self) -> None: ...
+    async def finish(self) -> None:
+        """End the response regularly and set `done`."""
+        ...
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """End a response that cannot be completed, so that the client sees the failure."""
+        ...
 
 
 class Exchange(Protocol):
-    """A client's request, as held by its front."""
+    """A client's request and its response, implemented by each front for its protocol."""
 
     received: RequestReceived
     sink: Sink
 
     @property
-    def disconnected(self) -> bool: ...  # also if the event loop has not processed it yet
+    def disconnected(self) -> bool:
+        """Whether the client has disconnected, also if the event loop has not processed it yet."""
+        ...
 
-    def call(self, forward: Forward) -> Call: ...
+    def call(self, forward: Forward) -> Call:
+        """Return the HTTP request of an attempt, without its time headers."""
+        ...
 
-    def time_headers(self, remaining: timedelta) -> Mapping[str, str]: ...  # of an attempt that is sent now
+    def time_headers(self, remaining: timedelta) -> Mapping[str, str]:
+        """Return the headers with the time left, for an attempt that is sent now."""
+        ...
 
-    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome: ...
+    def read_head(self, status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
+        """Interpret a response's head; `body` is empty until a response that is not a stream is read."""
+        ...
 
-    def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]: ...
+    def read_tail(self, tail: bytes) -> tuple[int, dict[str, float]]:
+        """Return the number of cached tokens and the load report from a stream's last bytes."""
+        ...
 
-    def refuse(self, retry_after: timedelta | None) -> None: ...
+    def refuse(self, retry_after: timedelta | None) -> None:
+        """Give the final answer: refused, with the retry advice if there is one."""
+        ...
 
-    def fail(self, duplicate: bool) -> None: ...
+    def fail(self, duplicate: bool) -> None:
+        """Give the final answer: failed; `duplicate` means that the id is in use or may have run."""
+        ...
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -36,28 +36,37 @@
 
 
 class SendGate(asyncio.Event):
-    """Decides whether each part of a call may be sent as it is handed to the system.
+    """Checks whether each part of a call may be sent as it is handed to the system.
 
-    `may_send` is called before every part, `spend` once, before the first. `time_headers` returns the headers
-    that depend on when the head is sent. `denied` is true if a call was withheld. The event is set when the
-    last part is sent.
+    It is three things in one: an event that is set when the last part is sent, the check before each part,
+    and the source of the headers that depend on when the head is sent (`time_headers`).
+
+    `is_permitted` is called before every part. `spend_cold_budget` is called once, before the first part: it
+    charges the budget that the fleet shares for an endpoint in slow start, and returns whether the call fits.
+    `denied` is true if a call was withheld.
     """
 
     def __init__(
         self,
-        may_send: Callable[[], bool] = lambda: True,
+        is_permitted: Callable[[], bool] = lambda: True,
         time_headers: Callable[[], Mapping[str, str]] = dict,
-        spend: Callable[[], bool] = lambda: True,
+        spend_cold_budget: Callable[[], bool] = lambda: True,
     ) -> None:
         super().__init__()
-        self.may_send, self.time_headers, self.spend = may_send, time_headers, spend
-        self.denied = self.spent = False
+        self.is_permitted, self.time_headers, self.spend_cold_budget = (
+            is_permitted,
+            time_headers,
+            spend_cold_budget,
+        )
+        self.denied = self.cold_budget_spent = False
         self.has_body = False  # a head without a body is the whole call
 
     def check(self) -> None:
         """Raise SendDeniedError, with nothing of this part written, if it may not be sent."""
-        allowed = not self.denied and self.may_send() and (self.spent or self.spend())
-        self.spent = True
+        allowed = (
+            not self.denied and self.is_permitted() and (self.cold_budget_spent or self.spend_cold_budget())
+        )
+        self.cold_budget_spent = True
         if not allowed:
             self.denied = True
             raise SendDeniedError(
@@ -181,7 +190,7 @@
         return self.session.request(method, url, allow_redirects=False, trace_request_ctx=gate, **more)
 
     async def get(self, address: str, path: str, time_limit: timedelta) -> tuple[int, bytes] | None:
-        """Fetch a short text and return its status with it, or None if there was no response."""
+        """Fetch a short text; return the response's status and body, or None if there was no response."""
         try:
             async with asyncio.timeout(time_limit.total_seconds()):
                 async with self.request("GET", address, path) as response:
@@ -202,4 +211,5 @@
             return None
 
     async def close(self) -> None:
+        """Close the session and all its connections."""
         await self.session.close()
--- a/hoplane/net/relay.py
+++ b/hoplane/net/relay.py
@@ -17,7 +17,7 @@
 from hoplane.net.server import MemoryBudget
 
 MAX_SHORT_RESPONSE_BYTES = 64 * 1024  # read of a response that is not a stream
-TAIL_BYTES = 2048  # kept of a stream's end, which holds usage and the load report
+TAIL_BYTES = 2048  # of a stream's end that are stored, as they contain usage and the load report
 SHORT_RESPONSE_TIMEOUT = timedelta(seconds=1)  # for the body of a response that is not a stream
 EVENT_TIMEOUT = timedelta(seconds=4.8)  # without an event: clients give up after 5 s
 
@@ -67,7 +67,7 @@
             while not last:
                 async with asyncio.timeout(EVENT_TIMEOUT.total_seconds() if began else None):
                     while not (data := sink.push(piece := await response.content.readany())) and piece:
-                        pass  # a partial event is no sign of life: the timeout keeps running
+                        pass  # a partial event doesn't restart the timeout
                 last = not piece
                 if last:
                     data = sink.flush(has_framing=response.content.at_eof() and has_framing(response))
@@ -119,7 +119,7 @@
         """Read a complete response within the memory budget, or return None if it is too large."""
         data = bytearray()
         while piece := await response.content.readany():
-            # The sum of all responses must not exceed the memory limit.
+            # The bytes of all buffered responses together must not exceed the memory budget.
             if not self.response_memory.reserve(len(piece)):
                 self.response_memory.release(len(data))
                 log.write_event_limited("answer_too_large", read=len(data))
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -41,6 +41,8 @@
 OVERDUE_GRACE = timedelta(milliseconds=250)
 
 
+# Names of counters that operators' tools read, so they stay when events or effects are renamed: "asked" is a
+# request received, "holds" are reservations.
 COUNTER_NAMES: dict[type, Callable[..., str]] = {
     ev.RequestReceived: lambda each: "asked_again" if each.retry else "asked",
     ev.Forward: lambda each: "reads" if each.is_read else "writes",
@@ -77,8 +79,9 @@
         parse_load_report: Callable[[bytes], dict[str, float]] = no_load_report,
     ) -> None:
         self.config, self.pool, self.clock = config, pool, Clock()
-        ledger = IdempotencyStore(config.ledger_most, config.ledger_keep)
-        self.state = ConductorState(config.settings, Router(config.settings, config.seed), ledger)
+        # The section `ledger` of the configuration gives the idempotency store's capacity and retention.
+        idempotency_store = IdempotencyStore(config.ledger_most, config.ledger_keep)
+        self.state = ConductorState(config.settings, Router(config.settings, config.seed), idempotency_store)
         self.probe_path, self.reservation_path, self.parse_load_report = (
             probe_path,
             reservation_path,
@@ -97,9 +100,10 @@
         self.start_times = StartTimes()
         self.last_sent: dict[str, datetime] = {}  # time of the last new work for each endpoint
         self.record_outcome: Callable[[str, Status], None] | None = None  # called with each attempt's outcome
-        # Called as an attempt's bytes are sent, for at-most-once requests with the last byte. Set where the
-        # fleet shares budgets.
-        self.spend: Callable[[ev.Endpoint], bool] = lambda endpoint: True
+        # Charges the budget that the fleet shares for an endpoint in slow start; returns whether the attempt
+        # fits. Called as the attempt's bytes are sent, for at-most-once requests with the last byte. Set by
+        # `shared/member.py`.
+        self.spend_cold_budget: Callable[[ev.Endpoint], bool] = lambda endpoint: True
         self.effects = {
             ev.Forward: self.forward,
             ev.AbandonAttempt: self.abandon,
@@ -168,7 +172,7 @@
 
     @property
     def invariants(self) -> Invariants:
-        """The run-time checks of this conductor."""
+        """The checks of this conductor's invariants, with their counts."""
         return self.state.invariants
 
     async def serve(self, exchange: Exchange, final_answer: asyncio.Future):
@@ -209,11 +213,11 @@
         self.log_violation(self.invariants.record(violation), id)
 
     def release_path(self, id: str) -> str | None:
-        """Return the path that releases a request's reservations."""
+        """Return the path of a request's release call, or None where endpoints hold no reservations."""
         return self.reservation_path(id)
 
     def log_violation(self, violation: Violation | None, id: str) -> None:
-        """Log a violation that was counted."""
+        """Log a violation, if there is one; the invariants have counted it already."""
         if violation is not None:
             log.write_event_limited("violation", kind=violation.value, request=id)
 
@@ -277,16 +281,16 @@
 
     def forward(self, effect: ev.Forward) -> None:
         key = effect.id, effect.attempt
-        self.gates[key] = self.make_gate(effect, spends=True)
+        self.gates[key] = self.make_gate(effect, uses_cold_budget=True)
         task = self.attempts[key] = self.start_task(self.run_attempt(effect, self.exchanges[effect.id]))
         task.add_done_callback(lambda task: self.attempt_done(effect, task))
 
-    def make_gate(self, effect: ev.Forward | ev.Reserve, spends: bool = False) -> SendGate:
+    def make_gate(self, effect: ev.Forward | ev.Reserve, uses_cold_budget: bool = False) -> SendGate:
         """Return a gate that checks, as a call's bytes are sent, that this is still permitted.
 
-        The rules are in `core/permits.py`. With `spends`, sending them spends the budget that the fleet
-        shares. Conditions are checked again because the attempt may have waited for a connection or for a
-        busy event loop; a client's unread close is noticed too.
+        The rules are in `core/permits.py`. With `uses_cold_budget`, the first byte is charged to the budget
+        that the fleet shares for an endpoint in slow start. Conditions are checked again because the attempt
+        may have waited for a connection or for a busy event loop; a client's unread close is detected too.
         """
         deadline = self.clock.now() + effect.time_left if isinstance(effect, ev.Forward) else None
 
@@ -298,20 +302,20 @@
                 else self.exchanges[effect.id].time_headers(deadline - self.clock.now())
             )
 
-        def allows() -> bool:
+        def is_permitted() -> bool:
             exchange = self.exchanges.get(effect.id)
             disconnected = exchange is None or exchange.disconnected
             return self.handle_denial(
                 effect, self.state.send_denial(effect, self.clock.now(), disconnected, deadline)
             )
 
-        def spend() -> bool:
-            if spends and not self.spend(effect.endpoint):
+        def spend_cold_budget() -> bool:
+            if uses_cold_budget and not self.spend_cold_budget(effect.endpoint):
                 return self.handle_denial(effect, Denial.OVER_BUDGET)
             self.last_sent[effect.endpoint.name] = datetime.now(UTC)
             return True
 
-        return SendGate(allows, time_headers, spend)
+        return SendGate(is_permitted, time_headers, spend_cold_budget)
 
     def handle_denial(self, effect: ev.Forward | ev.Reserve, denial: Denial | None) -> bool:
         """Log a denial, and end the request of a disconnected client; return whether there was no denial."""
@@ -336,7 +340,7 @@
         self.start_task(self.release(effect))
 
     async def release(self, effect: ev.Release) -> None:
-        """Release the reservations of a request."""
+        """Make the release calls until an endpoint accepts one; see `Releases.release`."""
         await self.releases.release(effect)
 
     # --- tasks
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -21,13 +21,14 @@
 ACCEPT_GRACE = permits.REFUSE_AFTER  # after SIGTERM, as clients keep connecting for 0.2 to 0.4 s
 # SIGKILL follows after the longest deadline plus this margin.
 MAX_KILL_DELAY, KILL_MARGIN = timedelta(seconds=3), timedelta(seconds=0.7)
-# Fractions of the time until SIGKILL between which streams are broken off, if clients can resume them.
-BREAK_OFF_START, BREAK_OFF_END = 0.45, 0.92
+# Part of the time from SIGTERM to SIGKILL over which the interruptions of open streams are spread, if clients
+# can resume them elsewhere; as fractions of that time.
+INTERRUPTION_START, INTERRUPTION_END = 0.45, 0.92
 # Attempts to create the listening socket while system resources are exhausted.
 LISTEN_ATTEMPTS, LISTEN_RETRY_DELAY = 100, timedelta(milliseconds=20)
-# Part of a client's deadline reserved for the response's way and a busy event loop.
+# Part of a client's deadline reserved for the network and a busy event loop.
 DEADLINE_MARGIN = timedelta(milliseconds=20)
-MIN_RETRY_AFTER = timedelta(milliseconds=200)  # least Retry-After of a refusal
+MIN_RETRY_AFTER = timedelta(milliseconds=200)  # lower bound of a refusal's Retry-After
 FLUSH_TIMEOUT = timedelta(seconds=2)  # for the last bytes to be sent
 # A drain closes idle connections after this; by then, new clients go elsewhere.
 DRAIN_IDLE_DELAY = timedelta(seconds=0.3)
@@ -132,22 +133,28 @@
 
 
 class MemoryBudget:
-    """Memory budget for bodies; a body over the limit is refused before it is read."""
+    """Budget of bytes in memory for bodies; a body over the limit is refused before it is read.
+
+    It has nothing to do with reservations at endpoints.
+    """
 
     def __init__(self, limit: int) -> None:
         self.limit = self.available = limit
 
     def resize(self, limit: int) -> None:
+        """Change the limit in bytes; bytes in use stay in use, so `available` may become negative."""
         self.available += limit - self.limit
         self.limit = limit
 
     def reserve(self, size: int) -> bool:
+        """Take bytes from the budget; return whether so many were available."""
         if size > self.available:
             return False
         self.available -= size
         return True
 
     def release(self, size: int) -> None:
+        """Return bytes to the budget."""
         self.available += size
 
 
@@ -158,8 +165,8 @@
         self.config, self.handler, self.error_response = config, handler, error_response
         self.bodies = MemoryBudget(config.limits.bodies)
         self.stopping = False
-        # Called to break off a fraction of the open requests.
-        self.break_off: Callable[[float], None] = lambda fraction: None
+        # Called to interrupt this fraction of the open requests; set by the front.
+        self.interrupt_requests: Callable[[float], None] = lambda fraction: None
         self.draining_since: float | None = None  # when the drain began, in loop time
         self.drain_task: asyncio.Task | None = None
         self.open_requests = 0
@@ -181,7 +188,7 @@
         self.bodies.resize(limits.bodies)
 
     async def start(self) -> None:
-        """Listen for clients. The platform may hold the socket and share it with another process."""
+        """Listen for clients, also on a socket inherited from the process supervisor."""
         for attempts_left in reversed(range(LISTEN_ATTEMPTS)):
             try:
                 sock = bound_socket(*self.config.listen, inherited=self.config.inherited)
@@ -197,14 +204,14 @@
         """Stop listening.
 
         Connections queued at a socket of this process are accepted first, as their requests may have arrived.
-        If the platform holds the socket, the other process on it accepts them.
+        If the process supervisor holds the socket, the other process that listens on it accepts them.
         """
         if self.listener is not None:
             await self.listener.close(accept_pending=self.config.inherited is None)
 
     @property
     def phase(self) -> Phase:
-        """The phase of this process's life."""
+        """The phase of this process with respect to new requests."""
         if self.stopping:
             return Phase.REFUSING if self.refusing else Phase.GRACE_PERIOD
         return Phase.SERVING if self.draining_since is None else Phase.DRAINING
@@ -225,7 +232,7 @@
             self.drain_task = asyncio.get_running_loop().create_task(self.drain())
 
     def hand_over(self) -> None:
-        """Let the other process accept all new connections, and drain this one."""
+        """Stop listening, so that the newer process accepts all new connections, and drain this one."""
         self.close_task = asyncio.get_running_loop().create_task(self.close_listener())
         self.start_drain()
 
@@ -289,19 +296,21 @@
     async def stop(self) -> None:
         """Accept new connections for a moment, then close idle ones and wait for the rest.
 
-        Where clients resume a broken stream elsewhere, open streams are broken off in time. Otherwise a
-        stream could outlast the time until SIGKILL, which cuts it at an arbitrary moment: in a rolling
-        restart the next conductor is then down as well, and clients find none. Two thirds of that time lie
-        before the next conductor's end and after the previous one's return.
+        Where clients can resume an interrupted stream elsewhere, open streams are interrupted before SIGKILL,
+        a few at a time. Otherwise SIGKILL could cut a stream at a moment of a rolling restart when the next
+        conductor is down as well, and its client would find none. The interruptions are spread around two
+        thirds of the time until SIGKILL: by then the previous conductor has returned, and the next one has
+        not stopped yet.
         """
         loop = asyncio.get_running_loop()
         self.stopping, stop_started = True, loop.time()
         self.cancel_drain()
         longest_deadline = max(cls.deadline for cls in self.config.settings.classes) / 1e9
         kill_delay = min(MAX_KILL_DELAY.total_seconds(), longest_deadline) + KILL_MARGIN.total_seconds()
-        breaks_off, next_break_off = self.config.settings.resume, BREAK_OFF_START * kill_delay
+        interrupts, next_interruption = self.config.settings.resume, INTERRUPTION_START * kill_delay
         loop.call_later(ACCEPT_GRACE.total_seconds(), self.start_refusing)
-        # If the platform holds the socket, the other process on it accepts new connections: close at once.
+        # If the process supervisor holds the socket, the other process on it accepts new connections, so this
+        # one stops listening at once.
         if self.config.inherited is None:
             await asyncio.sleep(ACCEPT_GRACE.total_seconds())
         await self.close_listener()
@@ -312,12 +321,12 @@
             self.http_server.close_idle_connections()
             await asyncio.sleep(0.005)
             last_active = loop.time() if self.open_requests else last_active
-            if breaks_off and (now := loop.time() - stop_started) >= next_break_off:
-                next_break_off = now + IDLE_SWEEP_INTERVAL.total_seconds()
-                self.break_off(
+            if interrupts and (now := loop.time() - stop_started) >= next_interruption:
+                next_interruption = now + IDLE_SWEEP_INTERVAL.total_seconds()
+                self.interrupt_requests(
                     min(
                         1.0,
-                        IDLE_SWEEP_INTERVAL.total_seconds() / max(0.001, BREAK_OFF_END * kill_delay - now),
+                        IDLE_SWEEP_INTERVAL.total_seconds() / max(0.001, INTERRUPTION_END * kill_delay - now),
                     )
                 )
 
@@ -338,7 +347,7 @@
 def retry_after_headers(pause: timedelta | None) -> dict[str, str]:
     """Return a refusal's headers: Retry-After in decimal seconds, none if it may not be sent.
 
-    The minimum covers modules that give no advice (0): clients would come back at once into the same
+    The minimum covers a refusal without advice (0), after which clients would retry at once during the same
     overload.
     """
     return {} if pause is None else {"Retry-After": f"{max(pause, MIN_RETRY_AFTER).total_seconds():.3f}"}
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -65,7 +65,7 @@
         slow_start = runtime.state.router.slow_start
         slow_start.may_send = lambda server: self.cold_quota(runtime, server).may_spend(self.now())
         slow_start.reserve_send = lambda server: self.reserve_send(runtime, server)
-        runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
+        runtime.spend_cold_budget = lambda endpoint: self.spend(runtime, endpoint)
         runtime.record_outcome = self.record_outcome
 
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -175,7 +175,7 @@
             past, future = (runtime.clock.now() + timedelta(seconds=n) for n in (-0.001, 60))
             for until, allowed in ((past, False), (future, True), (None, True)):
                 forward = Forward("q", 1, endpoint, timedelta(seconds=4), is_read=False, repeat_until=until)
-                assert runtime.make_gate(forward).may_send() is allowed
+                assert runtime.make_gate(forward).is_permitted() is allowed
             assert not first.is_set() and not any(isinstance(each, ClientDisconnected) for each in events)
 
     asyncio.run(within(test(), 20))
@@ -200,7 +200,7 @@
             (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
             for time_left, allowed in ((timedelta(), False), (timedelta(seconds=60), True)):
                 assert (
-                    runtime.make_gate(Forward("q", 1, endpoint, time_left, is_read=False)).may_send()
+                    runtime.make_gate(Forward("q", 1, endpoint, time_left, is_read=False)).is_permitted()
                     is allowed
                 )
 
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -64,7 +64,7 @@
             runtime = start_runtime(reader, writer)
             ended, feed = [], runtime.feed
             runtime.feed = lambda event: (ended.append(event), feed(event))
-            fits, runtime.spend = runtime.spend, lambda endpoint: False
+            fits, runtime.spend_cold_budget = runtime.spend_cold_budget, lambda endpoint: False
             call = Call("POST", "/v1/prompts", {}, b"{}")
             runtime.exchanges["q"] = SimpleNamespace(disconnected=False, call=lambda effect: call)
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=1), session="s"))
