--- a/hoplane/core/handover.py
+++ b/hoplane/core/handover.py
@@ -1,7 +1,7 @@
 """Decides the handover between processes that share an inherited listening socket.
 
-It says which process drains and when the new one reports ready. No I/O: `net/handover.py` exchanges the
-processes' heartbeats."""
+The decision is which process drains and when the new one reports ready. No I/O: `net/handover.py` exchanges
+the processes' heartbeats."""
 
 from __future__ import annotations
 
--- a/hoplane/core/idempotency.py
+++ b/hoplane/core/idempotency.py
@@ -11,7 +11,7 @@
     """Idempotency keys of requests that must not run twice.
 
     A client may repeat a request whose first copy is still running or may have run. A key is recorded when
-    its request arrives and kept for `retention` after its end, unless the request certainly never ran."""
+    its request arrives and stored for `retention` after its end, unless the request certainly never ran."""
 
     capacity: int
     retention: timedelta
--- a/hoplane/core/permits.py
+++ b/hoplane/core/permits.py
@@ -22,7 +22,7 @@
 class Denial(Enum):
     """Why something may not happen now. The values are log events, explained in `docs/on-call.md`."""
 
-    CLIENT_GONE = "client_gone"
+    CLIENT_DISCONNECTED = "client_gone"
     REQUEST_ENDED = "request_ended"
     READ_ENDED = "read_ended"
     DEADLINE_PASSED = "attempt_too_late"
@@ -54,7 +54,7 @@
     `read_in_flight` is None if the send does not depend on a read (a reservation is made only during one)."""
 
     now: timedelta
-    client_gone: bool
+    client_disconnected: bool
     ended: bool  # the final answer was given, or a response has started
     listed: bool  # discovery lists the endpoint as accepting new work
     deadline: timedelta | None = None
@@ -82,8 +82,8 @@
 
 def may_send(conditions: SendConditions) -> Denial | None:
     """Check whether bytes of an attempt or of a reservation call may be sent to an endpoint."""
-    if conditions.client_gone:
-        return Denial.CLIENT_GONE
+    if conditions.client_disconnected:
+        return Denial.CLIENT_DISCONNECTED
     if conditions.ended:
         return Denial.REQUEST_ENDED
     if conditions.read_in_flight is False:
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -23,13 +23,15 @@
 from hoplane.decision.router import Router
 from hoplane.decision.state import retune
 
+# The endpoint answered, with success or failure.
 ANSWERED_STATUSES = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
 # Unlike the router's MAY_HAVE_RUN, this includes OK: the core also records that a request has run, whereas
 # the router only decides on retries after a failure.
 MAY_HAVE_RUN_STATUSES = (Status.OK, Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 # Delay of a release after an interrupted attempt, so that the close of its connection arrives first.
 INTERRUPTED_RELEASE_DELAY = timedelta(milliseconds=15)
-DEFAULT_HOLD_LIMIT = timedelta(milliseconds=500)  # if the settings give no limit
+# Limit of the time that read state or a reservation may be held, if the settings give none.
+DEFAULT_HOLD_LIMIT = timedelta(milliseconds=500)
 RELEASE_LEAD = timedelta(milliseconds=100)  # before the limit, for the network and a busy event loop
 # Deducted from the hold limit after a reservation call was answered "unknown" (the endpoint had not received
 # the read): the reservation may exist since 300 ms before that answer. The 100 ms not deducted are slack.
@@ -127,7 +129,11 @@
         return listed is not None and listed.state is api.State.LIVE
 
     def send_denial(
-        self, effect: ev.Forward | ev.Reserve, now: timedelta, client_gone: bool, deadline: timedelta | None
+        self,
+        effect: ev.Forward | ev.Reserve,
+        now: timedelta,
+        client_disconnected: bool,
+        deadline: timedelta | None,
     ) -> Denial | None:
         """Return why bytes of an attempt or a reservation call may not be sent now, or None if they may."""
         request, attempt = self.requests.get(effect.id), None
@@ -138,7 +144,7 @@
         return permits.may_send(
             permits.SendConditions(
                 now,
-                client_gone,
+                client_disconnected,
                 request is None or request.closed or request.response_started or abandoned,
                 self.accepts_work(effect.endpoint),
                 deadline,
--- a/hoplane/core/release.py
+++ b/hoplane/core/release.py
@@ -1,8 +1,8 @@
-"""Order and timing of the calls that release a request's state. No I/O, no clock.
+"""Order and timing of the calls that release a request's read state and reservations. No I/O, no clock.
 
 Any endpoint accepts a release, so it fails only while no endpoint can be reached. Endpoints that are
-partitioned, out of connections or down are skipped, and all are tried in rounds for as long as something may
-be held."""
+partitioned, out of connections or down are skipped, and all are tried in rounds for as long as read state or
+a reservation may exist."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 HEDGE_DELAY = timedelta(milliseconds=70)  # without an answer; then the next endpoint is called as well
 MIN_RETRY_DELAY = timedelta(milliseconds=5)  # after an immediate failure; doubled for each consecutive one
 CALL_TIMEOUT = timedelta(seconds=0.5)  # for an answer; then the connection is closed
-# Delays of repeated releases for a read that was cut off: it may still complete, and leave its state, later.
+# Delays of repeated releases for a read that was cut off: it may still complete, and leave its read state,
+# after the first release.
 REPEAT_DELAYS = (timedelta(seconds=0.3), timedelta(seconds=0.5))
 MAX_DURATION = timedelta(seconds=5)  # endpoints free the state of a dead conductor after some seconds
 
@@ -26,9 +27,9 @@
 ) -> Iterator[Endpoint]:
     """Yield the endpoints to call, without end: those that took part in the request, then all in rounds.
 
-    Neighbours are in different zones, starting with our own: if a whole zone is down or partitioned, calling
-    its endpoints one after the other would use up all the time. Each request starts at its own offset, so
-    that the fleet's releases don't all go to one endpoint."""
+    Consecutive endpoints are in different zones, starting with the conductor's own: if a whole zone is down
+    or partitioned, calling its endpoints one after the other would use up all the time. Each request starts
+    at its own offset, so that the fleet's releases don't all go to one endpoint."""
     yield from first
     by_zone: dict[str, list[Endpoint]] = {}
     for endpoint in listed:
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -34,7 +34,7 @@
         self.index: int | None = None
         self.failing = False
         self.responded = asyncio.Event()  # set by the first response
-        self.successor: Discovery | None = None  # the watch that replaces this one after a reload
+        self.successor: Discovery | None = None  # the watch that has replaced this one on a reload
 
     def __str__(self) -> str:
         return self.address
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -16,7 +16,7 @@
 from hoplane.net.clock import Clock
 from hoplane.net.pool import Pool
 
-# A release later than the settings allow counts as a violation only beyond this.
+# A release that is later than the settings allow counts as a violation only if it is later by more than this.
 HELD_TOLERANCE = timedelta(milliseconds=300)
 
 
@@ -35,7 +35,7 @@
         self.loop = asyncio.get_running_loop()
 
     def report_late(self, effect: Release, calls_made: int) -> None:
-        """Report a release that was accepted later than the settings allow."""
+        """Log a release that was accepted later than the settings allow; a much later one is a violation."""
         limit = self.state.settings.release_within
         if (
             effect.held_since is not None
@@ -49,11 +49,11 @@
                 self.report(Violation.HELD_TOO_LONG, effect.id)
 
     async def release(self, effect: Release) -> None:
-        """Release, and repeat it for a read that was cut off while the request has no other work."""
+        """Release; after a read that was cut off, release again later unless the request is in progress."""
         await self.release_once(effect)
         for pause in releasing.REPEAT_DELAYS if effect.repeat else ():
             await asyncio.sleep(pause.total_seconds())
-            # The request continues elsewhere, and its end releases everything.
+            # The request is in progress at another endpoint, and its end releases everything.
             if effect.id in self.state.requests:
                 return
             await self.release_once(replace(effect, held_since=None))
@@ -61,8 +61,8 @@
     async def release_once(self, effect: Release) -> None:
         """Call endpoint after endpoint until one has accepted the release or a response has started.
 
-        A release must not end without a response while something is reserved: an immediate failure is no
-        reason to stop, and no particular endpoint has to respond.
+        The calls must not end unaccepted while a reservation may exist: an immediate failure is no reason to
+        stop, and any endpoint may accept the release.
         """
         path = self.path(effect.id)
         if path is None:
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -68,7 +68,7 @@
 
 
 class Runtime:
-    """Holds one conductor's state, its clock, its connections and its outstanding work."""
+    """One conductor's state, clock, connections and outstanding work."""
 
     def __init__(
         self,
@@ -159,7 +159,7 @@
         log.write_event_limited("violation", kind=violation.value, of=kind, request=id, error=repr(error))
 
     def report_failed_effect(self, effect: ev.Effect) -> None:
-        """Report the outcome of an effect that failed, so that the decision module can continue."""
+        """Report the outcome of an effect that failed, so that the router can continue."""
         if isinstance(effect, ev.Forward) and (effect.id, effect.attempt) not in self.attempts:
             self.gates.pop((effect.id, effect.attempt), None)
             self.feed(
@@ -322,7 +322,7 @@
         if denial is None:
             return True
         log.write_event_limited(denial.value, request=effect.id, endpoint=effect.endpoint.name)
-        if denial is Denial.CLIENT_GONE:
+        if denial is Denial.CLIENT_DISCONNECTED:
             self.feed(ev.ClientDisconnected(effect.id))
         return False
 
@@ -349,7 +349,7 @@
         """Report an attempt's end; its connection is idle or closed by now.
 
         This runs also for a task that was cancelled before its first step, whose own code never runs: without
-        an outcome, the decision module would wait forever and reservations would remain.
+        an outcome, the router would wait forever and reservations would remain.
         """
         key = effect.id, effect.attempt
         del self.attempts[key]
@@ -423,7 +423,7 @@
         Before, no endpoint knows of the read. A reservation that is requested or confirmed after the read's
         end would go unused, and with a lost response it would not be released in time.
         """
-        # If nothing is sent, nothing is reserved.
+        # If no call is sent, nothing is reserved.
         key, reserved, unanswered = (effect.id, effect.attempt), False, False
         gate, read_task, path = (
             self.make_gate(effect),
@@ -469,7 +469,7 @@
         except (aiohttp.ClientError, OSError):
             pass
         if status in (Status.TIMEOUT, Status.CONNECT_FAILED):
-            # Idle connections from before an outage would leave the next request waiting in vain.
+            # On an idle connection from before the outage, the next request would wait without an answer.
             self.pool.connector.close_idle(effect.endpoint.address)
             log.write_event_limited("probe_unanswered", endpoint=effect.endpoint.name, status=status.value)
         duration = timedelta(seconds=self.loop.time() - started_at)
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -15,14 +15,16 @@
 from hoplane.decision.interface import State, Status
 
 ZERO, SECOND = timedelta(), timedelta(seconds=1)
-GOOD = SendConditions(ZERO, client_gone=False, ended=False, listed=True, deadline=SECOND, repeat_until=SECOND)
+GOOD = SendConditions(
+    ZERO, client_disconnected=False, ended=False, listed=True, deadline=SECOND, repeat_until=SECOND
+)
 
 
 @pytest.mark.parametrize(
     "change, denial",
     [
         ({}, None),
-        ({"client_gone": True}, Denial.CLIENT_GONE),
+        ({"client_disconnected": True}, Denial.CLIENT_DISCONNECTED),
         ({"ended": True}, Denial.REQUEST_ENDED),
         ({"listed": False}, Denial.NOT_LISTED),
         ({"deadline": ZERO}, Denial.DEADLINE_PASSED),
@@ -87,7 +89,7 @@
 
     def __init__(self, effect):
         name = "once" if effect == "once" else "safe"
-        self.harness, self.open_attempts, self.reservations, self.answers, self.client_gone = (
+        self.harness, self.open_attempts, self.reservations, self.answers, self.client_disconnected = (
             ReducerHarness(),
             set(),
             [],
@@ -100,7 +102,7 @@
     def perform(self, effects):
         for each in effects:
             if isinstance(each, ev.Forward):
-                assert not self.answers and not self.client_gone, (
+                assert not self.answers and not self.client_disconnected, (
                     "nothing is sent for a request that has ended"
                 )
                 allowed = self.harness.state.send_denial(each, self.harness.now, False, None)
@@ -141,7 +143,7 @@
             self.perform(self.harness.apply(ev.ResponseStarted("q", which), after))
             self.answers += not had_response
         elif kind == "left" and not self.answers:
-            self.client_gone = True
+            self.client_disconnected = True
             self.perform(self.harness.apply(ev.ClientDisconnected("q"), after))
         elif kind == "drain":
             listed = list(self.harness.state.fleet.values())[which % 3 :][:1]
@@ -164,5 +166,5 @@
             life.perform(life.harness.apply(ev.AttemptEnded("q", attempt, Status.CANCELLED)))
         while life.reservations:
             life.perform(life.harness.apply(ev.ReservationFinished("q", life.reservations.pop(), None)))
-    assert life.answers + life.client_gone == 1
+    assert life.answers + life.client_disconnected == 1
     assert not life.harness.state.requests and life.harness.state.invariants.total == 0
