--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -67,7 +67,7 @@
             self.now()
         )
         slow_start.reserve_send = lambda server: self.reserve_send(runtime, server)
-        runtime.spend = lambda endpoint: self.spend(runtime, endpoint)
+        runtime.spend_cold_budget = lambda endpoint: self.spend(runtime, endpoint)
         runtime.record_outcome = self.record_outcome
 
     def cold_quota(self, runtime: Runtime, server: int) -> Quota:
