--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -52,8 +52,8 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
-    MISS = "miss"  # the prompt has been read; the reader holds its state
+    MOOT = "moot"  # never sent, as the request had ended or a repeat was not permitted
+    MISS = "miss"  # the prompt has been read at a reader, which holds its state for a writer to fetch
 
 
 # --- settings
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KindSettings:
-    """A kind of server; `memory` is its capacity in tokens."""
+    """A kind of server; `memory` is its capacity in tokens, None if not known."""
 
     name: str
     role: Role
@@ -70,24 +70,24 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """A class of requests; `aim` is the target TTFT, `window` the span in which repeats are discarded."""
+    """A class of requests, with its targets and whether its requests may be repeated."""
 
     name: str
-    aim: int
-    deadline: int
+    aim: int  # target TTFT, in ns
+    deadline: int  # time limit of a request, in ns; not used by the router, which has Request.time_left
     effect: Idempotency
-    worth: float = 1.0
-    late_worth: float = 0.0
-    group: Group = Group.ALL
-    window: int = 0
-    aim_per_1000: int = 0
-    token_aim: int | None = None
+    worth: float = 1.0  # of an answer in time; not used by the router
+    late_worth: float = 0.0  # of a late answer; not used by the router
+    group: Group = Group.ALL  # KEYED only: the servers among which repeats are discarded
+    window: int = 0  # KEYED only: time after the first send for which servers discard repeats, in ns
+    aim_per_1000: int = 0  # added to the target TTFT per 1,000 prompt tokens, in ns
+    token_aim: int | None = None  # target time per output token, in ns
 
     @property
     def safe_to_refuse(self) -> bool:
         """Return whether a request may be refused although it may have run.
 
-        A refusal invites the client to send the request again.
+        A refusal invites the client to send the request again, so a repeat must be harmless at any server.
         """
         return self.effect is Idempotency.SAFE or (
             self.effect is Idempotency.KEYED and self.group is Group.ALL
@@ -99,42 +99,48 @@
     """A tenant, and its share and quota over all routers."""
 
     name: str
-    share: float | None = None
-    quota_per_s: float | None = None
+    share: float | None = None  # not used by the router
+    quota_per_s: float | None = None  # requests per second
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings that a router is started with."""
+    """The settings that a router is started with.
+
+    Some fields are not used by the router (the decision module): the rest of the conductor uses them, or they
+    only describe the deployment.
+    """
 
     kinds: tuple[KindSettings, ...]
     classes: tuple[ClassSettings, ...]
     tenants: tuple[TenantSettings, ...] = ()
-    routers: int = 1
-    position: int = 0
-    zone: str | None = None
-    tick: int = 0
-    over_share_worth: float = 1.0
-    max_attempts: int | None = None
-    cancel: bool = False
-    second_copies: bool = False
-    probes: bool = False
-    peers: bool = False
-    reserve_ahead: bool = False
-    resume: bool = False
-    writers_read: bool = False
-    retry_after: bool = False
-    max_retry_after: int | None = None
+    routers: int = 1  # number of routers in the fleet
+    position: int = 0  # index of this router among them; not used by the router
+    zone: str | None = None  # of this router; not used by the router
+    tick: int = 0  # ns; margin by which deadlines and windows are treated as ending early
+    over_share_worth: float = 1.0  # of requests above a tenant's share; not used by the router
+    max_attempts: int | None = None  # per request; None: no limit
+    cancel: bool = False  # attempts in flight may be cancelled
+    second_copies: bool = False  # a SAFE request may have several attempts in flight at once
+    probes: bool = False  # servers answer health checks
+    peers: bool = False  # routers may send each other messages
+    reserve_ahead: bool = False  # memory may be reserved at a writer during a read
+    resume: bool = False  # clients resume a stream that was cut off; not used by the router
+    writers_read: bool = False  # writers may read prompts as fallback, see Router.fallback_writers
+    retry_after: bool = False  # a refusal may advise the client when to retry
+    max_retry_after: int | None = None  # ns; longest such advice; None: none is given
     must_subscribe: bool = False  # the server list is sent to subscribed routers only
-    far_price: float = 0.0
-    probe_price: float = 0.0
-    answer_slack: int = 0
-    release_within: int | None = None
-    drain_grace: int = 0
-    cold: int = 0
-    cold_share: float = 1.0
-    fall_multiple: float | None = None
-    fall: int = 0
+    far_price: float = 0.0  # of a state transfer; not used by the router
+    probe_price: float = 0.0  # price of a reservation, in points of service at one a request
+    answer_slack: int = 0  # ns; not used by the router
+    release_within: int | None = None  # ns; longest time that a read state may be held unused
+    drain_grace: int = 0  # ns; how long a draining server still accepts requests; not used by the router
+    cold: int = 0  # ns; warm-up time of a server after its start; 0: servers are warm at once
+    cold_share: float = 1.0  # capacity of a cold server, as a share of a warm one's
+    fall_multiple: float | None = (
+        None  # multiple of its capacity that overloads a cold server; None: no slow start
+    )
+    fall: int = 0  # ns; period over which that overload is measured; not used by the router
     waiting_tokens_field: str | None = None  # load report field: waiting prompt tokens, in thousands
     held_memory_field: str | None = None  # load report field: share of the server's memory in use
 
@@ -186,7 +192,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request, which must get exactly one final answer."""
+    """A client's request, as it arrived, which must get exactly one final answer.
+
+    `time_left` is the time to its deadline. `prefix_tokens` is the length of the part of the prompt that it
+    shares with other requests of its session or prefix. The router's state of the request is `state.Job`.
+    """
 
     request_id: str
     class_name: str
@@ -196,15 +206,15 @@
     session: str | None = None
     prefix: str | None = None
     prefix_tokens: int = 0
-    hint: int | None = None  # expected output time, see ClassSettings.token_aim
+    hint: int | None = None  # expected output time in ns: output tokens times ClassSettings.token_aim
     tenant: str | None = None
-    retry: bool = False
-    resumed: bool = False
+    retry: bool = False  # the client has marked the request as a repeat of one that was refused or failed
+    resumed: bool = False  # the client resumes a stream that was cut off; not used by the router
 
 
 @dataclass(slots=True, frozen=True)
 class FirstToken:
-    """The response stream of an attempt has started."""
+    """The response stream of an attempt has started, so the request can no longer be sent elsewhere."""
 
     request_id: str
     attempt: int
@@ -212,17 +222,20 @@
     elapsed: int
 
 
-SERVER_NOT_AT_FAULT = 1  # value of Outcome.detail
+# Value of Outcome.detail for CONNECT_FAILED and RESET: the failure says nothing about the server.
+SERVER_NOT_AT_FAULT = 1
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
     """How an attempt ended.
 
-    `detail` depends on the status. OK, MISS: the number of cached tokens that the server found. FULL: 1 if
-    the server had no read state to fetch. RESET, CONNECT_FAILED: SERVER_NOT_AT_FAULT if a kept-alive
-    connection may have been closed as idle, or the send was held back on our side; neither says anything
-    about the server."""
+    `closed`: the request has ended, with this attempt or before it, so that none may follow. `detail` depends
+    on the status. OK, MISS: the number of cached tokens that the server found. FULL: 1 if there was no read
+    state for the writer to fetch, 0 if the server had no capacity. RESET, CONNECT_FAILED: SERVER_NOT_AT_FAULT
+    if a kept-alive connection may have been closed as idle, if the conductor denied the send, or if a local
+    socket failure or an internal error prevented it. Other statuses: 0.
+    """
 
     request_id: str
     attempt: int
@@ -294,7 +307,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Send the request to a server; attempts count from 0. `timeout` 0: until the client's deadline."""
+    """Send the request to a server; attempts count from 0.
+
+    `timeout` limits the attempt, in ns; 0, which the router always uses, means the client's deadline.
+    """
 
     request_id: str
     server: int
@@ -318,7 +334,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Give up an attempt in flight and close its connection; its Outcome follows as CANCELLED."""
 
     request_id: str
     attempt: int
@@ -326,7 +342,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: refused, safe to retry. `retry_after` 0 gives the client no advice on when."""
+    """Final answer: refused, safe to retry.
+
+    `retry_after` advises the client after how many ns to retry; 0 gives no advice.
+    """
 
     request_id: str
     retry_after: int = 0
@@ -341,7 +360,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndStream:
-    """End a running stream cleanly, so that the client resumes it elsewhere."""
+    """End a running stream cleanly, so that the client resumes it elsewhere; not used by the router."""
 
     request_id: str
 
@@ -376,7 +395,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """Write a log line for operators."""
+    """Write a log line for operators; not used by the router."""
 
     text: str
 
--- a/hoplane/decision/probes.py
+++ b/hoplane/decision/probes.py
@@ -1,18 +1,20 @@
-"""Learns what probe timeouts mean in this deployment, as no setting says so. No I/O."""
+"""Learns whether a probe timeout means a dead or a busy server, which depends on the deployment. No I/O."""
 
 from __future__ import annotations
 
 from .state import Server
 
-ANSWERS_PER_FALSE_TIMEOUT = 20  # answers ahead of the queue that make up for one false timeout
+# Answers sent ahead of the queue that are needed per false timeout for timeouts to count as failures.
+ANSWERS_PER_FALSE_TIMEOUT = 20
 
 
 class ProbeReliability:
     """Learns whether a probe timeout means a dead server or a busy one.
 
     Some servers answer probes ahead of their queue, so that a timeout means failure. Others answer in queue
-    order: a timeout then means that the queue is longer than the probe's timeout. Taking all work away from
-    such a server discards reads that it would have done, or does in vain where cancelling stops no work.
+    order: a timeout then means that the queue is longer than the probe's timeout. Ejecting such a server and
+    cancelling its attempts wastes reads: it would have finished them, or finishes them unused where a
+    cancellation does not stop work in progress.
 
     A timeout was false if the same server process shows activity later. Timeouts are ignored while there is
     more than one false timeout per ANSWERS_PER_FALSE_TIMEOUT answers that came while an older request was
@@ -20,7 +22,7 @@
     """
 
     def __init__(self) -> None:
-        self.answers_while_busy = 0  # answers that came before that to an older request of ours
+        self.answers_while_busy = 0  # answers to probes while an older request of ours still waited
         self.false_timeouts = 0  # timeouts of servers that turned out to be alive
 
     def record_timeout(self, server: Server) -> bool:
--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -37,60 +37,78 @@
 
 MS, SECOND = 1_000_000, 1_000_000_000
 READERS, WRITERS = (Role.READ, Role.BOTH), (Role.WRITE, Role.BOTH)
-MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)  # for attempts at a writer
+# Statuses of an attempt at a writer after which the request may have run although it has no answer. The set
+# in core/reducer.py has OK as well, as the core records whether a request with an idempotency key has run,
+# also after its answer; here an answered request has ended.
+MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
 # Choice of path and server. "aim" is a class's target time to first token (TTFT).
-TTFT_WEIGHT, PACE_WEIGHT = 1.0, 1.0  # of the relative gains in TTFT and in time per output token
-MAX_LOCAL_NEW_SHARE = 0.25  # of the prompt: local turns have fewer new tokens
-MAX_LOCAL_LOAD_RATIO = 2.0  # streams of a writer over the median, up to which turns are local
-DEFAULT_LOCAL_NEW_TOKENS = 2000  # local below this while a bucket has no averages
-REMOTE_EXPLORATION_SHARE = 0.03  # of local turns, sent to a reader to update the remote averages
-SHORT_PROMPT_RATIO = 0.5  # of the mean prompt, up to which writers read a prompt themselves
-# Up to this rate of failed reservations writers have room, and read prompts up to the relaxed ratio.
+# Weights of the relative gain in TTFT and of that in time per output token, where a local read is compared
+# with a remote one.
+TTFT_WEIGHT, PACE_WEIGHT = 1.0, 1.0
+MAX_LOCAL_NEW_SHARE = 0.25  # of the prompt's tokens that are new, below which a read may be local
+MAX_LOCAL_LOAD_RATIO = 2.0  # streams of a writer over the median of writers, up to which reads may be local
+DEFAULT_LOCAL_NEW_TOKENS = 2000  # new tokens below which a read is local while a bucket has no averages
+REMOTE_EXPLORATION_SHARE = 0.03  # of local reads, sent to a reader instead to update the remote averages
+SHORT_PROMPT_RATIO = 0.5  # longest prompt that a pure writer reads as fallback, over the mean prompt length
+# While the share of failed reservations is at most the first value, pure writers read longer prompts as
+# fallback: up to the second value times the mean prompt length.
 LOW_RESERVATION_FAILURE_RATE, RELAXED_SHORT_PROMPT_RATIO = 0.15, 1.2
-IDLE_TIMEOUT = 120 * SECOND  # of session records and prefix counts
-AVERAGE_WEIGHT = 0.1  # of a new value in a moving average
-SPILL_SHARE = 0.5  # of the aim: a reader's backlog of ours, above which requests spill to the next reader
-# The minimum share of its virtual nodes that a reader keeps where its cell has few writers.
+IDLE_TIMEOUT = 120 * SECOND  # after which unused session records and prefix counts are dropped
+AVERAGE_WEIGHT = 0.1  # weight of a new sample in a moving average
+SPILL_SHARE = 0.5  # of the aim: the backlog of ours at a reader above which requests go to the next reader
+# Virtual nodes of a reader on the hash ring, and the minimum share of them that it has in a cell with few
+# writers.
 VIRTUAL_NODES, MIN_RING_SHARE = 16, 0.5
-# The best read speed decays with each read; the first sample must have this many tokens.
+# Factor on the best read speed at each finished read, and the number of tokens that the first sample must
+# have.
 SPEED_DECAY, MIN_SPEED_SAMPLE_TOKENS = 0.98, 1000
-# Cost of transferring a read state out of its cell or zone, in fill levels of a writer's memory.
+# Cost of transferring a read state to another cell of the zone, and to another zone. The unit of a writer's
+# cost is the share of its memory in use.
 OTHER_CELL_COST, OTHER_ZONE_COST = 0.8, 1.2
-MAX_RESERVATIONS = 4  # per read
+MAX_RESERVATIONS = 4  # requests for a reservation per read, each at another writer
 # Expected TTFT, as a share of the aim, above which requests are refused: normally, under full congestion, and
 # for tenants over their quota.
 LATE_SHARE, CONGESTED_LATE_SHARE, OVER_QUOTA_LATE_SHARE = 0.9, 0.4, 0.4
-# Mean delay, as a share of the aim, that counts as full congestion; weight of a request in that mean.
+# Mean expected delay, as a share of the aim, that counts as full congestion; weight of one request in that
+# mean.
 FULL_CONGESTION, CONGESTION_WEIGHT = 0.5, 0.03
-# Above this rate of failed reservations no writer counts as idle; factor on the refusal limits for retries.
+# Share of failed reservations above which no writer reads as fallback; factor on the limits of the expected
+# TTFT for requests that the client marked as repeats.
 HIGH_RESERVATION_FAILURE_RATE, RETRY_LIMIT_FACTOR = 0.75, 0.6
 
 # Failure detection and outlier ejection.
-SILENCE_FACTOR = 6.0  # multiple of a stage's mean time without activity that makes a server silent
-MIN_SILENCE = {True: 0.5, False: 1.5}  # lower bound for reads and writes, as multiples of the shortest aim
-# Multiples of the shortest aim: silence that triggers a probe, and the lower bound once a probe was answered.
+SILENCE_FACTOR = 6.0  # a server is silent after this multiple of a stage's mean time without activity
+# By Attempt.is_read: lower bound of the silence limit, in multiples of the shortest aim.
+MIN_SILENCE = {True: 0.5, False: 1.5}
+# In multiples of the shortest aim: the silence that triggers a probe, and the lower bound of the silence
+# limit of attempts sent before the server's last answer to a probe.
 PROBE_SILENCE, MIN_SILENCE_ALIVE = 0.25, 1.5
-OVERTAKE_MARGIN = 200 * MS  # an attempt sent so much before an answered one is lost rather than queued
-# Thousands of waiting tokens and share of memory below which a server's queue is empty.
+OVERTAKE_MARGIN = 200 * MS  # an attempt sent this long before an answered one is presumed lost, not queued
+# A server's queue is empty below this many thousand waiting prompt tokens and this share of memory in use.
 IDLE_MAX_WAITING, IDLE_MAX_MEMORY_SHARE = 1.0, 0.8
 MAX_REPORT_AGE = 400 * MS  # how old a load report may be on arrival
-REPORT_WINDOW = 5 * SECOND  # over which the weight of a reported memory share falls to 0
-COST_JITTER = 0.2  # at most added to a writer's cost, so that routers do not all choose the same writer
-# Consecutive errors that mark a server as down; a connection failure slower than this marks it at once.
+REPORT_WINDOW = 5 * SECOND  # time in which the weight of a reported memory share falls to 0
+COST_JITTER = 0.2  # largest random addition to a writer's cost, so that routers choose different writers
+# Number of consecutive errors that marks a server as down, and the duration above which a single connection
+# failure or reset does so.
 MAX_CONSECUTIVE_ERRORS, FAST_FAILURE = 2, 100 * MS
-# The prior for unknown servers, and the rate above which other servers come first.
+# Error rate assumed for a server without results, and the rate above which other servers are tried first.
 ERROR_RATE_PRIOR, HIGH_ERROR_RATE = 0.04, 0.45
+# Weight of a writer's error rate in its cost.
 ERROR_COST = {
     Idempotency.SAFE: 1.0,
     Idempotency.KEYED: 1.0,
     Idempotency.UNSAFE: 8.0,
-}  # of the error rate, at writers
-BASE_EJECTION_TIME, MAX_EJECTION_TIME = SECOND, 8 * SECOND  # doubles with each consecutive ejection
+}
+# Duration of a first ejection, which doubles with each consecutive one, and the longest duration.
+BASE_EJECTION_TIME, MAX_EJECTION_TIME = SECOND, 8 * SECOND
 # How long before its return an ejected server is probed, and the minimum time between probes of one server.
 PROBE_LEAD_TIME, MIN_PROBE_INTERVAL = 400 * MS, 400 * MS
-SWEEP_INTERVAL = 50 * MS  # of checks for silent servers and of new tries for waiting requests
-RATE_WINDOW = 5 * SECOND  # for recent events; reports of peers hold for half of it up to all of it
+SWEEP_INTERVAL = 50 * MS  # between checks for silent servers, which also retry waiting requests
+# Time over which recent events are counted. What a peer reported as FULL lasts at most a random part of it,
+# between half and all.
+RATE_WINDOW = 5 * SECOND
 
 
 class Router:
@@ -109,7 +127,8 @@
         self.ring = HashRing()
         self.jobs: dict[str, Job] = {}
         self.sessions: dict[str, SessionRecord] = {}  # least recently used first
-        # TTFT and time per output token, by bucket and whether the path is local.
+        # TTFT and time per output token, by bucket and whether the path is local (True: the read of a session
+        # continuation at its writer; False: every other path, including reads at fallback writers).
         self.path_averages_by_bucket: dict[
             tuple[tuple[bool, ...], bool], tuple[MovingAverage, MovingAverage]
         ] = {}
@@ -117,9 +136,9 @@
             None,
             *((tenant, name) for tenant in (None, *self.quotas) for name in self.classes),
         ]
-        # By is_read: the time of a read, and of a write up to its first token.
+        # By Attempt.is_read. True: the time of a read. False: the time from a send until its first token.
         self.stage_times = {True: MovingAverage(), False: MovingAverage()}
-        # By is_read.
+        # True: reads sent to readers. False: all other sends.
         self.recent_sends = {True: DecayingCounter(RATE_WINDOW), False: DecayingCounter(RATE_WINDOW)}
         self.mean_prompt_tokens = MovingAverage()
         self.congestion = MovingAverage()  # expected delay of arriving requests, as a share of their aim
@@ -147,7 +166,11 @@
         }
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Process an event and return the resulting actions in order; unknown events are ignored."""
+        """Process an event and return the resulting actions in order; unknown events are ignored.
+
+        A handler that returns a Job has it driven on by `continue_request`. That is how a request gets its
+        first attempt, its next stage, a retry after a failed attempt, or its end.
+        """
         self.now, self.actions = now, []
         if handler := self.handlers.get(type(event)):
             self.continue_request(handler(event))
@@ -187,7 +210,7 @@
             self.actions.append(api.SubscribeServerList())
 
     def on_request(self, event: api.Request) -> Job | None:
-        """Accept a request and set a timer for its deadline.
+        """Accept a request and set a timer for its deadline; the returned job is then sent or refused.
 
         The timer fires one tick early, so that the final answer is in time.
         """
@@ -254,7 +277,11 @@
                 return
 
     def on_outcome(self, event: api.Outcome) -> Job | None:
-        """Process the end of an attempt: update its server, its request and the averages."""
+        """Process the end of an attempt: update its server, its request and the averages.
+
+        The returned job is driven on: after a read it is sent to a writer, after a failure it is retried if
+        that is allowed, and after an answer it is removed.
+        """
         if (attempt := self.servers.attempt(event)) is None:
             return None
         job, server, status = attempt.job, attempt.server, event.status
@@ -278,6 +305,8 @@
             self.learn_answer(job, server, event)
         elif status is Status.FULL and event.detail == 1:
             job.state_holder = None
+        # Reset after every outcome, once the averages of its path are updated: a retry takes the path through
+        # a reader instead of waiting for the same writer again.
         job.local_server = None
         if status is not Status.MISS and job.requested_reservations:
             self.release(job)
@@ -332,7 +361,7 @@
     def learn_answer(self, job: Job, server: Server, event: api.Outcome) -> None:
         """Record a finished answer: the session's record and the time per output token.
 
-        If a local turn found few cached tokens (flush, restart, lack of memory), the writer's older session
+        If a local read found few cached tokens (flush, restart, lack of memory), the writer's older session
         records are void. That is too strict if only one session was lost.
         """
         self.path_averages(job)[1].add((self.now - job.first_token_at) / job.output_tokens, AVERAGE_WEIGHT)
@@ -371,9 +400,11 @@
     ) -> None:
         """Act on a fault observed at a server by this router or by a peer, and report our own to all peers.
 
-        Without these reports each of many routers loses a request to each faulty server. What a peer reported
-        expires early and at a random time, so that a few routers try the server again. If the fault was only
-        momentary, the server is avoided longer than needed.
+        DOWN ejects the server with the back-off of `eject`, whoever observed it. FULL makes the server
+        unavailable to a tenant and class for one send interval, within a maximum. For a peer's report that
+        maximum is short and random, so that a few routers try the server again early. Without the reports
+        each of many routers loses a request to each faulty server. If the fault was only momentary, the
+        server is avoided longer than needed.
         """
         max_duration = RATE_WINDOW * self.rng.uniform(0.5, 1) if from_peer else IDLE_TIMEOUT
         expires_at = self.now + round(min(self.send_interval(server), max_duration))
@@ -396,8 +427,11 @@
     def eject(self, server: Server, certain: bool, extend: bool = False) -> bool:
         """Eject a server, for longer with each consecutive ejection, and probe it just before its return.
 
-        This keeps requests away from dead and hung servers. Silence may also mean load, so uncertain
-        ejections take at most half of the servers of a role.
+        This keeps requests away from dead and hung servers. Certain reasons are consecutive
+        errors, a slow connection failure or reset, a failed probe, and a peer's report of one of these. An
+        uncertain one is silence, found by `sweep`: it may also mean load, so it ejects at most half of the
+        servers of a role. A server that is already ejected is ejected anew only with `extend`, when the probe
+        before its return fails. Returns whether the server was ejected now.
         """
         live = self.live((server.role,))
         healthy = [s for s in live if self.now >= s.ejected_until and s is not server]
@@ -411,7 +445,10 @@
         return True
 
     def sweep(self) -> None:
-        """Eject silent servers, drop idle table entries, and try waiting requests again.
+        """Eject silent servers, drop idle table entries, and continue waiting requests.
+
+        Requests without an attempt in flight are driven on by `continue_request`: sent if a server is
+        available by now, or ended. Cancelled attempts are retried when their outcome arrives.
 
         Servers are silent if they hang or are cut off, and also under long congestion. So the mean time of a
         stage includes attempts that were given up, and attempts that may not be repeated keep waiting.
@@ -455,10 +492,10 @@
             self.actions.append(api.Probe(server.entry.server))
 
     def on_probe_result(self, event: api.ProbeResult) -> None:
-        """Leave a server at once if its probe failed; if it answered, it may be congested and gets more time.
+        """Eject a server whose probe failed; one that answered may be congested and has more time.
 
         This tells congestion from a machine that is cut off. If the server reports an empty queue, attempts
-        that wait there without activity are lost and may be given up.
+        that wait there without activity are presumed lost and may be given up.
         """
         if (server := self.servers.get(event.server)) is None:
             return
@@ -486,9 +523,10 @@
     def silence_limit(self, attempt: Attempt) -> float:
         """Return how long an attempt may see no activity before it counts as lost.
 
-        It also covers servers that answer all but some requests, which would otherwise wait until their
-        deadline. For an overtaken attempt it is half an aim, plus the time to read all of our earlier prompts
-        there.
+        The limit is a multiple of the stage's mean time, with a lower bound, plus the time to read the tokens
+        that the server has yet to read for the attempt. An attempt that is presumed lost, as the server
+        answers other requests but not this one, would otherwise wait until its deadline. Its lower bound is
+        half the shortest aim, and the reading time covers the whole prompts of all reads sent there up to it.
         """
         server, ahead = attempt.server, [attempt]
         minimum = (
@@ -530,7 +568,11 @@
             del self.jobs[job.request.request_id]
 
     def start_next_attempt(self, job: Job) -> None:
-        """Send the request to the next stage, let it wait, or end it."""
+        """Send the request to the next stage, let it wait, or end it.
+
+        If the request would be late and its prompt has not been read, a fallback writer is tried first,
+        without a reader; if there is none, the request is refused, or failed if it may have run.
+        """
         exhausted = self.now >= job.deadline - self.settings.tick or not self.may_attempt(job, None)
         give_up = exhausted or self.no_server_in_time(job)
         state_deadline = job.state_since + (self.settings.release_within or IDLE_TIMEOUT) - 2 * SWEEP_INTERVAL
@@ -547,7 +589,11 @@
             self.finish(job)
 
     def send_next(self, job: Job) -> bool:
-        """Send the request to the next stage of its path."""
+        """Send the request to the next stage of its path; return whether it was sent.
+
+        With a finished read, to a writer. Else to the local writer of a continued session, or else to a
+        reader, or else to a fallback writer.
+        """
         if job.state_holder is not None:
             return self.send_first(job, self.rank_writers(job), is_read=False)
         if job.local_server is not None and self.send(job, job.local_server, is_read=False):
@@ -559,6 +605,7 @@
         return read or self.send_first(job, self.fallback_writers(job), is_read=False)
 
     def send_first(self, job: Job, servers: list[Server], is_read: bool) -> bool:
+        """Send the request to the first server that is allowed; a mixed server reads and writes in one."""
         return any(self.send(job, server, is_read and server.role is Role.READ) for server in servers)
 
     def release(self, job: Job) -> None:
@@ -569,7 +616,7 @@
         job.requested_reservations.clear()
 
     def finish(self, job: Job) -> Job:
-        """Give the final answer: refused if a retry is known to be safe, else failed."""
+        """Give the final answer: refused if a retry by the client is known to be safe, else failed."""
         cls, request = job.cls, job.request.request_id
         safe_to_retry = not job.in_flight and not any(attempt.may_have_run for attempt in job.attempts)
         retry_delay = min(
@@ -589,7 +636,10 @@
             )
 
     def may_attempt(self, job: Job, server: Server | None) -> bool:
-        """Return whether another attempt is allowed, at this server or (None) at any."""
+        """Return whether another attempt is allowed, at this server or (None) at any.
+
+        It depends on the attempt limit, the attempts in flight, and whether an earlier attempt may have run.
+        """
         max_attempts, cls = job.max_attempts, job.cls
         may_add_attempt = not job.in_flight or (
             self.settings.second_copies and cls.effect is Idempotency.SAFE
@@ -612,7 +662,11 @@
         )
 
     def send(self, job: Job, server: Server, is_read: bool) -> bool:
-        """Send the request if allowed by drains, slow start, the attempt limit, copies and effects."""
+        """Send the request if the server is not draining and slow start and `may_attempt` allow it.
+
+        `is_read`: sent to a reader for reading only. It is false for a local read, a fallback read, and all
+        sends to a mixed server.
+        """
         allowed = server.entry.state is State.LIVE and self.may_attempt(job, server)
         if not (allowed and (server is job.reserved_server or self.slow_start_allows(server))):
             return False
@@ -645,12 +699,16 @@
         return server.warmup_progress(self.now, self.settings.cold) < 1 and self.slow_start_allows(server)
 
     def would_be_late(self, job: Job) -> bool:
-        """Return whether the expected TTFT exceeds the limit, so that the request is to be refused.
+        """Return whether the expected TTFT exceeds the limit.
 
-        Delays are taken from servers that were given work recently. Tenants over their quota are refused
-        first. Retries are refused too, as their total age is unknown. A refusal tells the client to stay away
-        while the delay lasts. Without a read in flight or a recent one a read is sent, as otherwise one slow
-        read in the past would have all requests refused for ever.
+        If so, the request is refused unless a fallback writer can read it. Also adds the expected delay of an
+        arriving request to `congestion`, and sets the job's `retry_delay`, the advice that a refusal carries:
+        the time by which the limit is exceeded.
+
+        The limit is lower under congestion and for tenants over their quota, and lower still for requests
+        that the client marked as repeats, as their total age is unknown (only where refusals may carry retry
+        advice). Delays are taken from servers that were given work recently. With no recent measurement a
+        request is admitted, so that one slow read cannot block admission for good.
         """
         candidates = (
             [[job.local_server]]
@@ -704,9 +762,14 @@
     def fallback_writers(self, job: Job) -> list[Server]:
         """Return the writers that may read the prompt themselves if readers are congested or unavailable.
 
-        Only short prompts qualify (at mixed servers up to the mean), at writers where no request of ours
-        waits and while reservations succeed. Longer prompts qualify while nearly all reservations succeed, as
-        reading slows down a writer's answers.
+        A writer reads a prompt in one of two ways: as the session's local writer, see `local_writer`, or as
+        this fallback, for any request. `Settings.writers_read` governs the fallback only, and
+        `path_averages` count it as remote. It is not offered while too many reservations fail, nor at writers
+        where requests of ours wait to be read or the expected delay is long.
+
+        Limits of the prompt's length, over the mean prompt length: at mixed servers 1; at pure writers
+        SHORT_PROMPT_RATIO, or RELAXED_SHORT_PROMPT_RATIO while nearly all reservations succeed, as reading
+        slows down a writer's answers. Without any live reader there is no limit.
         """
         failure_rate = self.reservations.failure_rate(self.now)
         if (
@@ -769,7 +832,8 @@
     def path_averages(self, job: Job) -> tuple[MovingAverage, MovingAverage]:
         """Return the averages of TTFT and time per output token for a request's path and bucket.
 
-        Buckets separate long and short prompts, more new tokens than output tokens, and high and low load.
+        The path is local if the request is at its session's writer (`job.local_server`); a read at a fallback
+        writer counts as remote. Buckets (see `Job.bucket`) separate requests that are not comparable.
         """
         if not job.bucket:
             writers = self.live(WRITERS)
@@ -782,7 +846,13 @@
         )
 
     def local_writer(self, job: Job) -> Server | None:
-        """Return the writer that is to read a later turn itself, or None for the path through a reader."""
+        """Return the writer that is to continue its session and read the prompt itself, or None.
+
+        None means the path through a reader. Called once per request, at arrival: the result is
+        `job.local_server`, and a retry takes the path through a reader. This is the first of the two ways in
+        which a writer reads a prompt, and the only one that `path_averages` count as local; the other one is
+        `fallback_writers`.
+        """
         server = self.servers.get(job.session_record.writer) if job.session_record else None
         writers = self.available_servers(WRITERS, job.tenant_class)
         if (
@@ -812,8 +882,8 @@
         """Return the readers in ring order from the prefix's position; those over the bound come last.
 
         Readers over the bound are sorted by expected end. The more of all requests a prefix attracts, the
-        more readers share it; the session selects one of them. A session goes back first to its last reader,
-        which has most of it cached.
+        more readers share it; the session selects one of them. A continued session is sent first to its last
+        reader, which has most of it cached.
         """
         available = set(self.available_servers(READERS, job.tenant_class))
         ring = [s for s in self.ring.walk(job.request.prefix or job.request.session or "") if s in available]
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -30,9 +30,9 @@
 
 @dataclass(slots=True)
 class MovingAverage:
-    """An exponential moving average."""
+    """An exponential moving average; the first sample counts in full."""
 
-    value: float | None = None
+    value: float | None = None  # None before the first sample
 
     def add(self, sample: float, weight: float) -> None:
         """Add a sample with the given weight."""
@@ -71,17 +71,21 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server as seen by this router."""
+    """A server as seen by this router: its list entry, our attempts there, and what was observed of it.
+
+    The core has endpoints instead, which carry an address and no observations.
+    """
 
     entry: ServerEntry
     role: Role
     memory: int
     in_flight: dict[tuple[str, int], Attempt] = field(default_factory=dict)  # our attempts, oldest first
-    committed_tokens: int = 0  # the most tokens that our attempts may come to hold in its memory
-    streams: int = 0
-    queue_delay: int = 0  # of its last read or first token
+    committed_tokens: int = 0  # upper bound of the memory that our attempts will use, in tokens
+    streams: int = 0  # our attempts in flight there that are not reads
+    queue_delay: int = 0  # ns, of its last read or first token: the elapsed time less the reading time
     queue_delay_at: int = 0
-    overtaken_before: int = 0  # attempts sent earlier were overtaken by later ones of ours
+    # Waiting attempts sent before this time are presumed lost, as a later one was answered.
+    overtaken_before: int = 0
     last_seen: int = 0
     last_probe_at: int = 0
     last_probe_answer_at: int = 0
@@ -152,7 +156,7 @@
 
     @property
     def oldest_waiting(self) -> Attempt | None:
-        """Return the attempt waiting longest at the server that no later one has overtaken."""
+        """Return the attempt that waits longest at the server and is not presumed lost."""
         for attempt in self.in_flight.values():
             if not attempt.response_started and not attempt.presumed_lost:
                 return attempt
@@ -168,13 +172,16 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt to send a request."""
+    """One send of a request to a server, from the Send action to its Outcome.
+
+    The core has an Attempt of its own, which follows the connection; both have the same index.
+    """
 
     job: Job
     index: int
     server: Server
-    is_read: bool  # sent to a reader
-    committed_tokens: int  # the most tokens that its answer may come to hold
+    is_read: bool  # sent to a reader for reading only; false for a local read and at a mixed server
+    committed_tokens: int  # upper bound of the memory that its answer will use, in tokens
     unread_tokens: int  # estimated tokens that the server has to read
     sent_at: int
     response_started: bool = False
@@ -184,10 +191,10 @@
 
     @property
     def presumed_lost(self) -> bool:
-        """Return whether the attempt may be lost.
+        """Return whether the attempt is presumed lost rather than queued.
 
-        That is the case if later attempts at the server were answered, or if the server reported an empty
-        queue.
+        That is the case if a later attempt at the server was answered, or if the server has since reported an
+        empty queue.
         """
         return self.sent_at < max(self.server.overtaken_before, self.server.idle_at)
 
@@ -285,7 +292,7 @@
 
 @dataclass(slots=True)
 class SessionRecord:
-    """The servers of a session's last turn: its writer, its reader, and how many tokens were read there."""
+    """The servers of a session's last request: its writer, its reader, and the tokens read by that reader."""
 
     writer: int
     updated_at: int
@@ -295,7 +302,11 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A request from its arrival until its last attempt has ended."""
+    """The router's state of a request, from its arrival until its last attempt has ended.
+
+    `request` is the client's request as it arrived, which never changes. The core's own Request has the state
+    that concerns connections and answers instead: what was received, what may be held, what was sent back.
+    """
 
     request: Request
     cls: ClassSettings
@@ -304,7 +315,7 @@
     session_record: SessionRecord | None
     max_attempts: int | None = None  # by the settings at its arrival
     attempts: list[Attempt] = field(default_factory=list)
-    local_server: Server | None = None  # the writer that is to read this turn itself
+    local_server: Server | None = None  # the session's writer that is to read this prompt itself
     state_holder: Server | None = None  # the reader that holds the read state
     state_since: int = 0
     reader: Server | None = None  # the reader that has read the prompt
@@ -312,15 +323,18 @@
     # Writers at which a reservation was requested during the current read.
     requested_reservations: list[Server] = field(default_factory=list)
     reserved_server: Server | None = None
-    bucket: tuple[bool, ...] = ()  # long prompt, more new than output tokens, high load
+    # Selects the averages to compare with: whether the prompt is longer than the mean, whether it has more
+    # new tokens than output tokens, and whether writers have more streams than on average, all at the first
+    # use. Empty until then.
+    bucket: tuple[bool, ...] = ()
     first_token_at: int | None = None
-    retry_delay: int = 0  # after which the client may retry if it is refused
+    retry_delay: int = 0  # ns after which the client is advised to retry if it is refused
     ended: bool = False
 
     def next_session_record(self, writer: Server, now: int) -> SessionRecord:
         """Return the session's record after this answer.
 
-        If a writer read the prompt itself, the previous reader is kept.
+        If a writer read the prompt itself, the previous reader stays in the record.
         """
         reader = self.reader or (writer if writer.role is Role.BOTH else None)
         if reader is not None:
@@ -337,12 +351,12 @@
 
     @property
     def in_flight(self) -> list[Attempt]:
-        """Return the attempts in flight."""
+        """Return the attempts that have no outcome yet, oldest first."""
         return [attempt for attempt in self.attempts if not attempt.finished]
 
     @property
     def tenant_class(self) -> tuple[str | None, str]:
-        """Return the request's tenant and class."""
+        """Return the key by which a server may be full for some requests only."""
         return self.request.tenant, self.request.class_name
 
     @property
@@ -357,26 +371,28 @@
 
     @property
     def aim(self) -> int:
-        """Return the target time to first token for a prompt of this length."""
+        """Return the target TTFT in ns: that of the class, plus its addition per 1,000 prompt tokens."""
         return self.cls.aim + self.cls.aim_per_1000 * self.request.prompt_tokens // 1000
 
     @property
     def new_tokens(self) -> int:
-        """Return the number of prompt tokens after the shared prefix."""
+        """Return the number of prompt tokens after the prefix shared with earlier requests."""
         return max(0, self.request.prompt_tokens - self.request.prefix_tokens)
 
     @property
     def output_tokens(self) -> int:
-        """Return the expected output length: the hinted length, or else the maximum."""
+        """Return the expected output in tokens.
+
+        With a hint, that is the expected output time over the target time per token, else the maximum.
+        """
         request, aim = self.request, self.cls.token_aim
         return max(1, request.hint // aim if request.hint and aim else request.max_output_tokens)
 
 
 def retune(router, settings) -> None:
-    """Apply new settings to later requests; requests in progress keep their class.
+    """Apply new settings to later requests; requests in progress keep the settings of their class.
 
-    Server list, timers, and what was learned of servers and sessions are kept, and so are the kinds of
-    servers.
+    The server list, the kinds of servers, timers, and what was learned of servers and sessions stay.
     """
     router.settings = settings
     router.classes = {cls.name: cls for cls in settings.classes}
