--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -372,6 +372,7 @@
             server.sessions_valid_since = job.arrived_at
 
     def on_client_disconnected(self, event: api.ClientDisconnected) -> Job | None:
+        """End a request without an answer; the returned job is removed once no attempt is in flight."""
         if job := self.jobs.get(event.request_id):
             job.ended = True
             self.cancel(job.in_flight)
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -274,7 +274,7 @@
 
 
 class Timers(dict[int, Callable[[], "Job | None"]]):
-    """Timer callbacks by timer id; ids count up."""
+    """Timer callbacks by timer id; ids count up. A job that a callback returns is driven on by the router."""
 
     count = 0
 
