--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -81,7 +81,7 @@
     may_have_run: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def safe_to_refuse(self) -> bool:
         """Return whether the request may be refused although it may have run.
 
         True if its class is SAFE, or if all endpoints discard its duplicates. The `repeatable` of
@@ -513,7 +513,7 @@
     request.attempts.append(Attempt(action.server, role is api.Role.READ, now))
     denial = permits.may_repeat(
         permits.RepeatConditions(
-            role is api.Role.READ or request.repeatable or not request.has_effect(api.Idempotency.UNSAFE),
+            role is api.Role.READ or request.safe_to_refuse or not request.has_effect(api.Idempotency.UNSAFE),
             request.may_have_run,
             index,
             max_attempts or None,
@@ -685,9 +685,9 @@
     if request is None or not request.closed:
         return
     in_flight = any(not attempt.ended for attempt in request.attempts)
-    if request.answer_pending and (request.repeatable or not in_flight):
+    if request.answer_pending and (request.safe_to_refuse or not in_flight):
         request.answer_pending = False
-        may_not_repeat = not request.repeatable and request.may_have_run
+        may_not_repeat = not request.safe_to_refuse and request.may_have_run
         state.statistics.count(request.received.class_name, "errored" if may_not_repeat else "deferred")
         reason = "the conductor is shutting down"
         yield (
