--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -34,9 +34,9 @@
     from hoplane import xds
     from hoplane.fronts import kserve
 
-# While a file cannot be read.
+# Delay between attempts to read a file that cannot be read.
 REREAD_DELAY, MAX_REREAD_DELAY = timedelta(milliseconds=50), timedelta(seconds=1)
-# At startup, to read the configuration and to create the event loop, `REREAD_DELAY` apart.
+# Attempts at startup to read the configuration and to create the event loop, `REREAD_DELAY` apart.
 STARTUP_ATTEMPTS = 40
 GC_INTERVAL = timedelta(seconds=10)  # between garbage collections, which take 5 to 8 ms
 
@@ -137,7 +137,7 @@
         """
         try:
             new = self.load_config(self.config)
-            watch = self.watch.moved(new)
+            watch = self.watch.reconfigure(new)
         except TransientReadError as error:
             self.reload_later(error)
             return
@@ -181,7 +181,7 @@
         """Serve until a signal arrives, then finish the accepted requests."""
         stop = asyncio.Event()
         signals.on_shutdown_signal(stop.set)
-        await self.watch.first()
+        await self.watch.wait_until_ready()
         if not stop.is_set():
             await self.run(stop)
         signals.ignore_reload()
