--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -116,7 +116,9 @@
 
 
 def classify_response(status: int, headers: Mapping[str, str]) -> HeadOutcome:
-    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    """Return the outcome that a response's head implies.
+
+    An unclear response counts as an error after which the request may have run."""
     if headers.get(UNPROCESSED_HEADER) == "1":
         return HeadOutcome(Status.FULL)
     if status == 200 or (status in REQUEST_ERROR_STATUSES and status not in TRANSIENT_STATUSES):
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -155,7 +155,9 @@
 
 
 def classify_response(status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
-    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    """Return the outcome that a response's head implies.
+
+    An unclear response counts as an error after which the request may have run."""
     load = parse_load_report(headers.get(LOAD_HEADER, ""))
     unprocessed = headers.get(UNPROCESSED_HEADER) == "1"
     if status == 200:
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -1,4 +1,4 @@
-"""Tests of the v2 front, with simulated v2 servers and clients."""
+"""Tests that the v2 front has the outcomes of the HTTP/1.1 front, with simulated v2 servers and clients."""
 
 import asyncio
 import json
