--- a/hoplane/core/idempotency.py
+++ b/hoplane/core/idempotency.py
@@ -1,4 +1,7 @@
-"""Remembers which idempotency keys may have run, bounded in number and time; the oldest are dropped first."""
+"""Remembers which idempotency keys may have run.
+
+A key expires after the retention time; when the store is full, new keys are refused.
+"""
 
 from __future__ import annotations
 
--- a/hoplane/core/pacing.py
+++ b/hoplane/core/pacing.py
@@ -27,7 +27,8 @@
 SERVICE_TIME = timedelta(milliseconds=60)
 MAX_QUEUE_TIME = timedelta(seconds=2)  # the central service rejects a call that was queued for this long
 MAX_CALL_TIMEOUT = timedelta(seconds=3)  # a call that is unanswered for this long is not in the queue
-# Conductors that may retry without delay, as a watch remains valid for 200 ms between calls.
+# Number of conductors whose retries the service can answer within the 200 ms for which a watch remains valid
+# between calls.
 IMMEDIATE_RETRIERS = 3
 MAX_STALENESS = timedelta(seconds=6)  # a change counts as known after this, even if all calls have failed
 MAX_BACKOFF = MAX_STALENESS - MAX_QUEUE_TIME  # so that the next call, if queued, is answered in time
@@ -83,13 +84,13 @@
     def failed(self, timed_out: bool, since_success: timedelta = timedelta()) -> timedelta:
         """Return the backoff after a failed call, `since_success` after the last successful call began.
 
-        With a local agent, the backoff is short and constant but for its jitter.
+        With a local agent, the backoff is short, and constant except for jitter.
         With a central service, it doubles with each consecutive failure. Conductors that were rejected at the
         same time must not retry at the same time, so the first backoff is staggered by `position`, and later
         ones are random. A change counts as known after `MAX_STALENESS` even if calls were refused, rejected
-        or timed out, so the next call starts before that time is over, unless it is over already. A call that
-        timed out was never queued: the watch is lost, and the backoff may take all of that time but the
-        call's own timeout."""
+        or timed out, so the next call starts within `MAX_BACKOFF` of the start of the last successful one,
+        unless that time has already passed. A call that timed out was never queued: the watch is lost, and
+        the timeout of that call plus the backoff may fill that time."""
         limit = self.max_timeout_backoff * 2 / 3 if timed_out else MAX_BACKOFF
         backoff = min(
             self.base_backoff * 2**self.consecutive_failures if self.polled else self.base_backoff, limit
--- a/hoplane/core/permits.py
+++ b/hoplane/core/permits.py
@@ -14,8 +14,8 @@
 from datetime import timedelta
 from enum import Enum
 
-# Time from SIGTERM until new requests are refused. A request that arrives up to 0.7 s after SIGTERM must be
-# answered before SIGKILL, and the event loop may block for 0.15 s.
+# Time from SIGTERM until new requests are refused. Refusals start before 0.7 s, because requests that arrive
+# until then must be answered before SIGKILL, and the event loop may block for 0.15 s.
 REFUSE_AFTER = timedelta(milliseconds=500)
 
 
--- a/hoplane/core/reducer.py
+++ b/hoplane/core/reducer.py
@@ -21,7 +21,7 @@
 from hoplane.decision.interface import Status
 from hoplane.decision.peer_messages import PeerReport, Symptom
 from hoplane.decision.router import Router
-from hoplane.decision.state import retune
+from hoplane.decision.state import apply_settings
 
 # The endpoint answered, with success or failure.
 ANSWERED_STATUSES = (Status.OK, Status.MISS, Status.FULL, Status.ERROR)
@@ -34,7 +34,8 @@
 DEFAULT_HOLD_LIMIT = timedelta(milliseconds=500)
 RELEASE_LEAD = timedelta(milliseconds=100)  # before the limit, for the network and a busy event loop
 # Deducted from the hold limit after a reservation call was answered "unknown" (the endpoint had not received
-# the read): the reservation may exist since 300 ms before that answer. The 100 ms not deducted are slack.
+# the read): the reservation may have existed for 300 ms when that answer arrives; 100 ms of that are
+# tolerated.
 UNKNOWN_RESERVATION_LEAD = timedelta(milliseconds=200)
 DEADLINE_GRACE = timedelta(milliseconds=5)  # after the deadline, which the router enforces itself
 
@@ -450,7 +451,7 @@
         return
     state.statistics.conf_loaded += 1
     state.settings = replace(event.settings, kinds=state.settings.kinds)  # new kinds need a restart
-    retune(state.router, state.settings)
+    apply_settings(state.router, state.settings)
     yield ev.WriteLog("retuned", {"classes": [each.name for each in event.settings.classes]})
 
 
@@ -466,7 +467,7 @@
     state: ConductorState, now: timedelta, event: ev.EndpointReportedFailing
 ) -> Iterator[ev.Effect]:
     """Pass the report to the router, which ejects the endpoint."""
-    # The router handles a report of the fleet like a peer message; here it is one from its own process.
+    # The report is passed to the router as a peer message with sender 0, although it comes from this process.
     server_id = state.server_ids.get(event.endpoint)
     if server_id in state.fleet:
         yield from run_router(state, now, api.PeerMessage(0, PeerReport(Symptom.DOWN, server_id).pack()))
@@ -657,9 +658,11 @@
 
 
 def build_release(state: ConductorState, request: Request) -> ev.Release:
-    """Build the release: at endpoints of the request that answered, then the last one if it was abandoned.
+    """Build the release effect.
 
-    Its other endpoints could not be reached, and trying them one after the other would use up the time."""
+    It first calls the endpoints that answered the request, then the endpoint of the last attempt if that was
+    abandoned. The request's other endpoints could not be reached, and trying them one after the other would
+    use up the time."""
     held_since, request.held_since = request.held_since, None
     last_abandoned = [attempt.server for attempt in request.attempts[-1:] if attempt.abandon_status]
     answered = [attempt.server for attempt in reversed(request.attempts) if attempt.answered]
--- a/hoplane/decision/cached_tokens.py
+++ b/hoplane/decision/cached_tokens.py
@@ -13,10 +13,10 @@
 class CachedTokensEstimator:
     """Estimates the tokens that a reader must read, corrected by the results of finished reads.
 
-    A router knows only the sessions and prefixes that it has sent itself. Readers also cache what other
-    routers sent, or what this one sent before its restart, so that counting all unknown tokens as unread
-    gives two to three times too many. There is a correction per kind of evidence, as a prefix that nobody has
-    read yet is read in full.
+    A router knows only the sessions and prefixes of requests that it sent itself. Readers also cache those of
+    other routers, and those that this one sent before its restart. Counting all unknown tokens as unread
+    would therefore overestimate them by a factor of two to three. There is a correction per kind of evidence,
+    as a prefix that nobody has read yet is read in full.
 
     If `pessimistic`, all tokens that are not known to be cached count as unread. That is right where a
     refusal tells the client when to retry and so costs little; a refusal without that advice mostly loses the
--- a/hoplane/decision/interface.py
+++ b/hoplane/decision/interface.py
@@ -131,7 +131,7 @@
     max_retry_after: int | None = None  # ns; longest such advice; None: none is given
     must_subscribe: bool = False  # the server list is sent to subscribed routers only
     far_price: float = 0.0  # of a state transfer; not used by the router
-    probe_price: float = 0.0  # price of a reservation, in points of service at one a request
+    probe_price: float = 0.0  # price of a reservation, as a fraction of the value of one answered request
     answer_slack: int = 0  # ns; not used by the router
     release_within: int | None = None  # ns; longest time that a read state may be held unused
     drain_grace: int = 0  # ns; how long a draining server still accepts requests; not used by the router
@@ -171,7 +171,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """An entry of the server list; `started_at` is 0 if the start lies long back."""
+    """An entry of the server list; `started_at` is 0 if the server started long ago."""
 
     server: int
     kind: str
--- a/hoplane/decision/prefix_placement.py
+++ b/hoplane/decision/prefix_placement.py
@@ -6,7 +6,9 @@
 
 from .state import DecayingCounter
 
-FANOUT_FACTOR = 4.0  # readers of a prefix per reader's worth of all requests that the prefix attracts
+# A prefix with a share s of all requests is spread over one reader plus about this times s times the number
+# of readers.
+FANOUT_FACTOR = 4.0
 PRIOR_REQUESTS = 10  # added to all requests when the share of a prefix is computed
 # Requests for each prefix assumed to be seen by other routers, where routers far outnumber readers.
 UNOBSERVED_REQUESTS = 0.5
--- a/hoplane/decision/probes.py
+++ b/hoplane/decision/probes.py
@@ -31,7 +31,10 @@
         return self.answers_while_busy >= ANSWERS_PER_FALSE_TIMEOUT * self.false_timeouts
 
     def confirm_alive(self, server: Server) -> None:
-        """Record activity of a server."""
+        """Record that a server is alive.
+
+        Its last probe timeout is counted as false if the same process is still running.
+        """
         self.false_timeouts += server.timed_out_process == server.entry.started_at
         server.timed_out_process = None
 
--- a/hoplane/decision/reservations.py
+++ b/hoplane/decision/reservations.py
@@ -6,7 +6,8 @@
 
 from .state import DecayingCounter
 
-# Price of a reservation, in points of service at one a request, up to which every read makes one.
+# Price of a reservation, as a fraction of the value of one answered request, up to which every read makes a
+# reservation.
 CHEAP_PRICE = 0.003
 LOW_FAILURE_RATE = 0.05  # below which writers have room, so that a sample of reservations is enough
 
--- a/hoplane/decision/router.py
+++ b/hoplane/decision/router.py
@@ -1,6 +1,6 @@
 """The routing decisions of one router, with their tables and tuning constants.
 
-Every send passes through `send`, every final answer through `finish`. `continue_request` drives requests
+Every send passes through `send`, every final answer through `finish`. `continue_request` continues requests
 without an attempt in flight. See `interface.py` for the events and actions, and `docs/design.md` for the
 design.
 """
@@ -38,8 +38,8 @@
 MS, SECOND = 1_000_000, 1_000_000_000
 READERS, WRITERS = (Role.READ, Role.BOTH), (Role.WRITE, Role.BOTH)
 # Statuses of an attempt at a writer after which the request may have run although it has no answer. The set
-# in core/reducer.py has OK as well, as the core records whether a request with an idempotency key has run,
-# also after its answer; here an answered request has ended.
+# in core/reducer.py also contains OK, because the core records whether a keyed request has run even if it was
+# answered. The router needs no such record: it does not retry answered requests.
 MAY_HAVE_RUN = (Status.ERROR, Status.TIMEOUT, Status.RESET, Status.CANCELLED)
 
 # Choice of path and server. "aim" is a class's target time to first token (TTFT).
@@ -56,7 +56,9 @@
 LOW_RESERVATION_FAILURE_RATE, RELAXED_SHORT_PROMPT_RATIO = 0.15, 1.2
 IDLE_TIMEOUT = 120 * SECOND  # after which unused session records and prefix counts are dropped
 AVERAGE_WEIGHT = 0.1  # weight of a new sample in a moving average
-SPILL_SHARE = 0.5  # of the aim: the backlog of ours at a reader above which requests go to the next reader
+# Share of the aim that limits our backlog and the expected delay at a reader, above which requests go to the
+# next reader, and the expected delay at a fallback writer.
+SPILL_SHARE = 0.5
 # Virtual nodes of a reader on the hash ring, and the minimum share of them that it has in a cell with few
 # writers.
 VIRTUAL_NODES, MIN_RING_SHARE = 16, 0.5
@@ -81,8 +83,9 @@
 SILENCE_FACTOR = 6.0  # a server is silent after this multiple of a stage's mean time without activity
 # By Attempt.is_read: lower bound of the silence limit, in multiples of the shortest aim.
 MIN_SILENCE = {True: 0.5, False: 1.5}
-# In multiples of the shortest aim: the silence that triggers a probe, and the lower bound of the silence
-# limit of attempts sent before the server's last answer to a probe.
+# Both are multiples of the shortest aim. PROBE_SILENCE: silence after which a server is probed.
+# MIN_SILENCE_ALIVE: lower bound of the silence limit of an attempt if the server has answered a probe since
+# the send.
 PROBE_SILENCE, MIN_SILENCE_ALIVE = 0.25, 1.5
 OVERTAKE_MARGIN = 200 * MS  # an attempt sent this long before an answered one is presumed lost, not queued
 # A server's queue is empty below this many thousand waiting prompt tokens and this share of memory in use.
@@ -90,8 +93,8 @@
 MAX_REPORT_AGE = 400 * MS  # how old a load report may be on arrival
 REPORT_WINDOW = 5 * SECOND  # time in which the weight of a reported memory share falls to 0
 COST_JITTER = 0.2  # largest random addition to a writer's cost, so that routers choose different writers
-# Number of consecutive errors that marks a server as down, and the duration above which a single connection
-# failure or reset does so.
+# Number of consecutive errors that marks a server as down; a single connection failure or reset that takes
+# longer than FAST_FAILURE also marks the server as down.
 MAX_CONSECUTIVE_ERRORS, FAST_FAILURE = 2, 100 * MS
 # Error rate assumed for a server without results, and the rate above which other servers are tried first.
 ERROR_RATE_PRIOR, HIGH_ERROR_RATE = 0.04, 0.45
@@ -106,8 +109,8 @@
 # How long before its return an ejected server is probed, and the minimum time between probes of one server.
 PROBE_LEAD_TIME, MIN_PROBE_INTERVAL = 400 * MS, 400 * MS
 SWEEP_INTERVAL = 50 * MS  # between checks for silent servers, which also retry waiting requests
-# Time over which recent events are counted. What a peer reported as FULL lasts at most a random part of it,
-# between half and all.
+# Time over which recent events are counted. A peer's FULL report applies for at most a random 50 to 100 % of
+# this time.
 RATE_WINDOW = 5 * SECOND
 
 
@@ -168,8 +171,8 @@
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
         """Process an event and return the resulting actions in order; unknown events are ignored.
 
-        A handler that returns a Job has it driven on by `continue_request`. That is how a request gets its
-        first attempt, its next stage, a retry after a failed attempt, or its end.
+        If a handler returns a Job, `continue_request` continues it. That is how a request gets its first
+        attempt, its next stage, a retry after a failed attempt, or its end.
         """
         self.now, self.actions = now, []
         if handler := self.handlers.get(type(event)):
@@ -279,7 +282,7 @@
     def on_outcome(self, event: api.Outcome) -> Job | None:
         """Process the end of an attempt: update its server, its request and the averages.
 
-        The returned job is driven on: after a read it is sent to a writer, after a failure it is retried if
+        The returned job is continued: after a read it is sent to a writer, after a failure it is retried if
         that is allowed, and after an answer it is removed.
         """
         if (attempt := self.servers.attempt(event)) is None:
@@ -320,11 +323,11 @@
             self.memory_share[server.role].add(server.reported_memory_share, AVERAGE_WEIGHT)
 
     def record_failure(self, server: Server, event: api.Outcome) -> None:
-        """Mark a server as down after consecutive errors, or after a slow connection failure.
+        """Mark a server as down after consecutive errors, or after one slow connection failure or reset.
 
-        Otherwise a server that fails at once looks least busy and attracts requests. A single reset does not
-        mark a healthy server as down. A reset of a kept-alive connection is ignored: it may have been closed
-        as idle.
+        Otherwise a server that fails at once looks least busy and attracts requests. A single reset within
+        FAST_FAILURE does not mark a server as down; a slower one does. A reset of a kept-alive connection is
+        ignored: it may have been closed as idle.
         """
         if event.status is not Status.ERROR and event.detail == api.SERVER_NOT_AT_FAULT:
             return
@@ -402,10 +405,10 @@
         """Act on a fault observed at a server by this router or by a peer, and report our own to all peers.
 
         DOWN ejects the server with the back-off of `eject`, whoever observed it. FULL makes the server
-        unavailable to a tenant and class for one send interval, within a maximum. For a peer's report that
-        maximum is short and random, so that a few routers try the server again early. Without the reports
-        each of many routers loses a request to each faulty server. If the fault was only momentary, the
-        server is avoided longer than needed.
+        unavailable to a tenant and class for the mean time between two of our sends to a server of its role,
+        but at most `max_duration`. For a peer's report that maximum is short and random, so that a few
+        routers try the server again early. Without the reports each of many routers loses a request to each
+        faulty server. If the fault was only momentary, the server is avoided longer than needed.
         """
         max_duration = RATE_WINDOW * self.rng.uniform(0.5, 1) if from_peer else IDLE_TIMEOUT
         expires_at = self.now + round(min(self.send_interval(server), max_duration))
@@ -448,11 +451,12 @@
     def sweep(self) -> None:
         """Eject silent servers, drop idle table entries, and continue waiting requests.
 
-        Requests without an attempt in flight are driven on by `continue_request`: sent if a server is
+        Requests without an attempt in flight are continued by `continue_request`: sent if a server is
         available by now, or ended. Cancelled attempts are retried when their outcome arrives.
 
         Servers are silent if they hang or are cut off, and also under long congestion. So the mean time of a
-        stage includes attempts that were given up, and attempts that may not be repeated keep waiting.
+        stage includes attempts that were given up, and attempts at writers of requests that are not SAFE keep
+        waiting.
         """
         unanswered = [job for job in self.jobs.values() if not job.is_answered]
         for server in dict.fromkeys(attempt.server for job in unanswered for attempt in job.in_flight):
@@ -462,12 +466,12 @@
                     self.stage_times[oldest_waiting.is_read].add(
                         self.now - oldest_waiting.sent_at, AVERAGE_WEIGHT
                     )
-                    self.cancel_repeatable(server)
+                    self.cancel_reads_and_safe(server)
                 elif silent_for > PROBE_SILENCE * min(cls.aim for cls in self.settings.classes):
                     self.probe(server)
         for attempt in [a for job in unanswered for a in job.in_flight if a.presumed_lost and not a.failed]:
-            repeatable = attempt.is_read or attempt.job.cls.effect is Idempotency.SAFE
-            if repeatable and self.now - attempt.sent_at > self.silence_limit(attempt):
+            cancellable = attempt.is_read or attempt.job.cls.effect is Idempotency.SAFE
+            if cancellable and self.now - attempt.sent_at > self.silence_limit(attempt):
                 attempt.failed = True
                 self.cancel([attempt])
         for table in (self.sessions, self.prefix_arrivals):
@@ -478,8 +482,8 @@
         if self.sweep_scheduled:
             self.schedule(SWEEP_INTERVAL, self.sweep)
 
-    def cancel_repeatable(self, server: Server) -> None:
-        """Cancel the attempts at a server that may be repeated."""
+    def cancel_reads_and_safe(self, server: Server) -> None:
+        """Cancel the reads and the attempts of SAFE requests at a server."""
         self.cancel(a for a in server.in_flight.values() if a.is_read or a.job.cls.effect is Idempotency.SAFE)
 
     def probe(self, server: Server) -> None:
@@ -493,10 +497,10 @@
             self.actions.append(api.Probe(server.entry.server))
 
     def on_probe_result(self, event: api.ProbeResult) -> None:
-        """Eject a server whose probe failed; one that answered may be congested and has more time.
+        """Eject a server whose probe failed; give attempts at one that answered a longer silence limit.
 
-        This tells congestion from a machine that is cut off. If the server reports an empty queue, attempts
-        that wait there without activity are presumed lost and may be given up.
+        A probe distinguishes a congested server from an unreachable one. If the server reports an empty
+        queue, attempts that wait there without activity are presumed lost and may be given up.
         """
         if (server := self.servers.get(event.server)) is None:
             return
@@ -507,7 +511,7 @@
                 self.eject(server, certain=True, extend=True)
             else:
                 self.apply_symptom(Symptom.DOWN, server)
-            self.cancel_repeatable(server)
+            self.cancel_reads_and_safe(server)
         elif event.status not in (Status.RESET, Status.TIMEOUT):
             self.probe_reliability.record_answer(server)
             server.last_probe_answer_at = self.now
@@ -550,7 +554,7 @@
         """Return the servers that may get new work.
 
         An ejected server that has returned gets a single request as a trial. A server that was full for a
-        tenant and class gets nothing of theirs, as it may have room for others.
+        tenant and class gets no requests of that tenant and class, but may get those of others.
         """
         return [
             s
@@ -592,8 +596,8 @@
     def send_next(self, job: Job) -> bool:
         """Send the request to the next stage of its path; return whether it was sent.
 
-        With a finished read, to a writer. Else to the local writer of a continued session, or else to a
-        reader, or else to a fallback writer.
+        If the prompt has been read, the request goes to a writer. Otherwise the order is: the session's local
+        writer, a reader, a fallback writer.
         """
         if job.state_holder is not None:
             return self.send_first(job, self.rank_writers(job), is_read=False)
@@ -880,11 +884,15 @@
         return server if prefer_local and self.rng.random() >= REMOTE_EXPLORATION_SHARE else None
 
     def rank_readers(self, job: Job) -> list[Server]:
-        """Return the readers in ring order from the prefix's position; those over the bound come last.
+        """Return the readers in order of preference.
 
-        Readers over the bound are sorted by expected end. The more of all requests a prefix attracts, the
-        more readers share it; the session selects one of them. A continued session is sent first to its last
-        reader, which has most of it cached.
+        Cold readers that are due come first if the read is short enough for them, then the others in ring
+        order from the prefix's position, then the readers over the bound of the backlog or the delay, sorted
+        by expected end. Readers that failed this request or have a high error rate come after all others, in
+        the same order.
+
+        The more of all requests a prefix attracts, the more readers share it; the session selects one of
+        them. A continued session is sent first to its last reader, which has most of it cached.
         """
         available = set(self.available_servers(READERS, job.tenant_class))
         ring = [s for s in self.ring.walk(job.request.prefix or job.request.session or "") if s in available]
@@ -901,7 +909,7 @@
         within_bound = [
             s for s in ring if s.queued_tokens <= backlog_bound and self.expected_delay(s) <= max_delay
         ]
-        past_bound = [s for s in ring if s not in within_bound]
+        over_bound = [s for s in ring if s not in within_bound]
         failed = [a.server for a in job.attempts if a.failed]
         # Cold readers are slower: a read that takes longer than this would not be done in time there.
         max_cold_time = max_delay * self.settings.cold_share
@@ -910,13 +918,13 @@
             for s in within_bound
             if self.cold_due(s) and self.reading_time(self.unread_tokens(job, s)) < max_cold_time
         ]
-        past_bound.sort(
+        over_bound.sort(
             key=lambda s: (
                 self.expected_delay(s) + self.reading_time(s.queued_tokens + self.unread_tokens(job, s))
             )
         )
         return sorted(
-            within_bound + past_bound,
+            within_bound + over_bound,
             key=lambda s: (
                 s in failed or s.error_rate(self.now, ERROR_RATE_PRIOR) > HIGH_ERROR_RATE,
                 s not in cold_due,
@@ -926,7 +934,7 @@
     def rank_writers(self, job: Job) -> list[Server]:
         """Return the writers by cost: a reserved one first, those that failed or refused last.
 
-        Ties are broken at random, so that routers do not choose the same writer.
+        Each cost includes a random addition, so that routers choose different writers.
         """
         failed = {attempt.server for attempt in job.attempts if attempt.failed}
         order = {
--- a/hoplane/decision/state.py
+++ b/hoplane/decision/state.py
@@ -274,7 +274,7 @@
 
 
 class Timers(dict[int, Callable[[], "Job | None"]]):
-    """Timer callbacks by timer id; ids count up. A job that a callback returns is driven on by the router."""
+    """Timer callbacks by timer id; ids count up. A job that a callback returns is continued by the router."""
 
     count = 0
 
@@ -389,10 +389,10 @@
         return max(1, request.hint // aim if request.hint and aim else request.max_output_tokens)
 
 
-def retune(router, settings) -> None:
+def apply_settings(router, settings) -> None:
     """Apply new settings to later requests; requests in progress keep the settings of their class.
 
-    The server list, the kinds of servers, timers, and what was learned of servers and sessions stay.
+    The server list, the kinds of servers, timers, and the observations of servers and sessions do not change.
     """
     router.settings = settings
     router.classes = {cls.name: cls for cls in settings.classes}
--- a/hoplane/net/aiohttp_internals.py
+++ b/hoplane/net/aiohttp_internals.py
@@ -32,7 +32,8 @@
 # Closes a client connection without a complete request head; clients expect an error or a close within 3 s.
 CLIENT_IDLE_TIMEOUT = timedelta(seconds=2.2)
 LINGER_TIMEOUT = timedelta(seconds=5)  # for a client to read an error and to stop sending
-STALE_LIMIT, STALE_WINDOW_S = 2, 5.0  # reused connections that broke, and the seconds within which they count
+# Keep-alive is paused when STALE_LIMIT reused connections have broken within STALE_WINDOW_S seconds.
+STALE_LIMIT, STALE_WINDOW_S = 2, 5.0
 # An unsolicited second response may arrive some milliseconds after the first.
 REUSE_DELAY = timedelta(milliseconds=20)
 KEEPALIVE_PAUSE_S, MAX_KEEPALIVE_PAUSE_S = 10.0, 80.0  # time without keep-alive after breaks
@@ -187,11 +188,11 @@
         self.keepalive_resumes_at, self.keepalive_pause = 0.0, KEEPALIVE_PAUSE_S
 
     def note_stale(self, idle_time: float) -> None:
-        """Pause keep-alive after several reused connections have broken in a row.
+        """Pause keep-alive when STALE_LIMIT reused connections have broken within STALE_WINDOW_S.
 
         Some endpoints, or proxies in front of them, reset connections that they kept open, however short the
         idle time. A request with side effects that is written to such a connection may have run, so it fails.
-        The pause doubles each time.
+        The pause doubles, up to MAX_KEEPALIVE_PAUSE_S, if the last one ended less than its own length ago.
         """
         now = self._loop.time()
         self.stale_times.append(now)
@@ -536,11 +537,11 @@
 
 TCP_INFO_STATE, TCP_INFO_LAST_RECEIVED, TCP_INFO_SIZE = 0, 52, 56  # offsets in Linux's struct tcp_info
 ESTABLISHED, CLOSE_WAIT = 1, 8
-MAX_UNREAD_TIME = timedelta(seconds=10)  # larger values do not measure the wait of a request
+MAX_UNREAD_TIME = timedelta(seconds=10)  # a larger value is not the waiting time of a request, and is ignored
 
 
 def time_since_last_received(transport: asyncio.BaseTransport | None) -> timedelta:
-    """Return how long ago the connection's last bytes arrived, or zero if the system does not tell.
+    """Return how long ago the connection's last bytes arrived, or zero if the system does not report it.
 
     They may have waited in the accept queue, or for a busy event loop. Source: `tcpi_last_data_recv` of
     Linux's TCP_INFO, in milliseconds.
--- a/hoplane/net/clock.py
+++ b/hoplane/net/clock.py
@@ -7,7 +7,10 @@
 
 
 class Clock:
-    """A clock for timers that wall-clock steps do not affect, yet comparable with `since_ms`."""
+    """A clock that is not affected by wall-clock steps.
+
+    Its times count from the Unix epoch, so they can be compared with `since_ms`.
+    """
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
--- a/hoplane/net/counters.py
+++ b/hoplane/net/counters.py
@@ -1,4 +1,7 @@
-"""Counts what this conductor costs the fleet, and logs the counts regularly."""
+"""Counts this conductor's requests, its calls to endpoints and discovery, and their outcomes.
+
+The counts are logged regularly.
+"""
 
 from __future__ import annotations
 
--- a/hoplane/net/discovery.py
+++ b/hoplane/net/discovery.py
@@ -82,10 +82,10 @@
         return successor is not None
 
     async def wait_until_ready(self) -> None:
-        """Wait for the first response; without one in time, start with the list known from before.
+        """Wait for the first response, at most `first_answer_timeout`.
 
-        Without the wait, requests would be served by a list as old as the previous process, although changes
-        since then count as reported from the start of this one.
+        The caller then starts with the list it has. Without the wait, requests would be served by a list as
+        old as the previous process, although changes since then count as reported from the start of this one.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(self.pacing.first_answer_timeout.total_seconds()):
@@ -114,7 +114,7 @@
                 await asyncio.sleep(self.pacing.failed(timed_out, since_success).total_seconds())
 
     async def poll(self) -> bool | None:
-        """Make one call and process the response; if it fails, return whether there was no response."""
+        """Make one call and process the response. Return None if it succeeded, else whether it timed out."""
         path, (long_poll_wait, response_timeout) = "/registry/instances", self.pacing.next_call()
         if self.index is not None:
             path += f"?since={self.index}&timeout_ms={long_poll_wait // timedelta(milliseconds=1)}"
@@ -129,7 +129,8 @@
                 self.pool.counters["list_lines"] += self.process_response(orjson.loads(body))
         except Exception as error:
             self.pool.counters["watches_failed"] += 1
-            # A response of any form must not end the watch unnoticed, and the list with it.
+            # Catch every error: an unexpected response must not end the watch, because the list would then no
+            # longer be updated.
             if not self.failing:
                 log.write_event("discovery_lost", error=repr(error))
             self.failing = True
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -21,9 +21,12 @@
 from hoplane.net.counters import Counters
 
 READ_BUFFER_BYTES = 16 * 1024  # read from an endpoint before a slow client has taken them
-LAST_BYTE_DELAY = timedelta(milliseconds=5)  # twice the round trip to another data centre
+# Time for a close or reset by the endpoint to arrive before the last byte is sent: twice the round trip to
+# another data centre.
+LAST_BYTE_DELAY = timedelta(milliseconds=5)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # struct linger: enabled, 0 s
-IDLE_TIMEOUT_FRACTION = 0.5  # of the endpoints' idle timeout: later writes may meet a reset
+# Of the endpoints' idle timeout; a connection that was idle for longer may be reset by the endpoint.
+IDLE_TIMEOUT_FRACTION = 0.5
 
 
 def is_local_failure(error: Exception) -> bool:
--- a/hoplane/net/releases.py
+++ b/hoplane/net/releases.py
@@ -1,4 +1,4 @@
-"""Releases a request's reservations by calling one endpoint after the other until one accepts."""
+"""Releases a request's read state and reservations by calling endpoints in turn until one accepts."""
 
 from __future__ import annotations
 
@@ -61,8 +61,9 @@
     async def release_once(self, effect: Release) -> None:
         """Call endpoint after endpoint until one has accepted the release or a response has started.
 
-        The calls must not end unaccepted while a reservation may exist: an immediate failure is no reason to
-        stop, and any endpoint may accept the release.
+        The calls continue while a reservation may exist: an immediate failure does not end them, because any
+        other endpoint may accept the release. They end after MAX_DURATION, as endpoints free the state of a
+        dead conductor after some seconds.
         """
         path = self.path(effect.id)
         if path is None:
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -138,13 +138,13 @@
         try:
             if type(event) is ev.EndpointsUpdated:
                 event = self.start_times.convert(event, timedelta(seconds=time.time()), self.clock.now())
-            self.count_item(event)
+            self.record_item(event)
             effects.extend(iterate_effects(self.state, self.clock.now(), event))
         except Exception as error:
             self.record_internal_error(Violation.EVENT_FAILED, event, error)
         for effect in effects:
             try:
-                self.count_item(effect)
+                self.record_item(effect)
                 self.effects[type(effect)](effect)
             except Exception as error:
                 self.record_internal_error(Violation.EFFECT_FAILED, effect, error)
@@ -225,8 +225,11 @@
         """Return the core's statistics for the operator."""
         return collect(self.state, to_ns(self.clock.now()))
 
-    def count_item(self, item: ev.Event | ev.Effect) -> None:
-        """Count the calls that the fleet pays for, and the outcomes of attempts and reservations."""
+    def record_item(self, item: ev.Event | ev.Effect) -> None:
+        """Count an event or effect by COUNTER_NAMES.
+
+        Also pass attempt outcomes to `record_outcome` and response starts to the invariants.
+        """
         if (
             self.record_outcome
             and type(item) is ev.AttemptEnded
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -61,8 +61,8 @@
 class StreamSink:
     """Passes a response's events on to an HTTP/1.1 client, each once it is complete.
 
-    Malformed streams are detected: a chunk size that is too small or too large shows as lines that belong to
-    no event, and a wrong size that hides this shows as an event or a stream that exceeds the limits.
+    Malformed streams are rejected. A wrong chunk size either leaves lines that belong to no event, or makes
+    an event or the stream exceed its limit.
     """
 
     buffered = False
@@ -133,9 +133,11 @@
 
 
 class MemoryBudget:
-    """Budget of bytes in memory for bodies; a body over the limit is refused before it is read.
+    """Budget of bytes in memory for bodies.
 
-    It has nothing to do with reservations at endpoints.
+    The caller rejects a body for which `reserve` returns False: a front checks the size of a request's body
+    before it reads the body, `relay.py` checks each piece of a buffered response. This has nothing to do with
+    reservations at endpoints.
     """
 
     def __init__(self, limit: int) -> None:
--- a/hoplane/net/start_times.py
+++ b/hoplane/net/start_times.py
@@ -1,4 +1,4 @@
-"""Converts endpoints' start times from the wall clock to the reducer's clock, which no clock step moves.
+"""Converts start times from Unix time to the reducer's clock, which wall-clock steps do not change.
 
 Discovery reports `since_ms` as Unix time. The reducer's clock starts at the wall-clock time and continues
 monotonically, so the two differ by every step of the wall clock since this process started. What counts is an
@@ -32,7 +32,10 @@
         return replace(listed, endpoints=endpoints)
 
     def converted(self, endpoint: Endpoint, wall: timedelta, now: timedelta) -> Endpoint:
-        """Return an endpoint with its start time on the reducer's clock; zero stays, for long ago."""
+        """Return an endpoint with its start time on the reducer's clock.
+
+        Zero, which means long ago, is not converted.
+        """
         if endpoint.started == ZERO:
             self.known.pop(endpoint.name, None)
             return endpoint
