--- a/hoplane/lab/etcd_stub.py
+++ b/hoplane/lab/etcd_stub.py
@@ -57,7 +57,7 @@
 
 
 def parse_operation(raw: dict) -> Operation:
-    """Parse an operation of a transaction."""
+    """Parse the JSON of an operation of a transaction; raise ValueError if it is invalid."""
     if (put := get_field(raw, "request_put")) is not None:
         return Put(get_bytes(put, "key"), get_bytes(put, "value"), int(get_field(put, "lease", 0)))
     for name, kind in (("request_range", Range), ("request_delete_range", Delete)):
@@ -67,7 +67,7 @@
 
 
 def parse_compare(raw: dict) -> Compare:
-    """Parse a compare of a transaction."""
+    """Parse the JSON of a comparison of a transaction; raise ValueError or KeyError if it is invalid."""
     target, name = COMPARE_FIELDS[get_field(raw, "target", "VERSION")]
     expected = get_bytes(raw, name) if target == "value" else int(get_field(raw, name, 0))
     return Compare(
--- a/hoplane/lab/faults.py
+++ b/hoplane/lab/faults.py
@@ -40,9 +40,9 @@
 
     `share`: the probability that a call is affected, 0 to 1. `begin`, `end`: seconds since the start.
     `errno`: the name of the error that the call fails with. `hold_s`: an additional delay of the call in
-    seconds. `short`: the most bytes that a send or recv transfers. `step_s`: the offset of the wall clock
-    while the fault is active (`clock` only). `port`: only connections to this port. `descriptor`: only writes
-    to this descriptor. `path`: only files whose path contains this."""
+    seconds. `short`: the maximum number of bytes that a send or recv transfers. `step_s`: the offset of the
+    wall clock while the fault is active (`clock` only). `port`: only connections to this port. `descriptor`:
+    only writes to this descriptor. `path`: only files whose path contains this."""
 
     call: str
     errno: str | None = None
@@ -116,7 +116,7 @@
 
 
 def load_plan(file: Path) -> Plan:
-    """Load a plan from a file."""
+    """Load a plan from a file; raise PlanError if it can't be read or is invalid."""
     try:
         return parse_plan(orjson.loads(file.read_bytes()))
     except OSError as error:
@@ -144,7 +144,7 @@
     def inject(
         self, call: str, port: int | None = None, descriptor: int | None = None, path: object = ""
     ) -> int:
-        """Raise an error or sleep as planned; return the most bytes the call may transfer, 0 for no limit."""
+        """Raise or sleep as planned; return the maximum number of bytes to transfer, 0 for no limit."""
         max_bytes = 0
         for fault in self.active_faults(call):
             if fault.port not in (None, port) or fault.descriptor not in (None, descriptor):
--- a/hoplane/lab/fleet_scenario.py
+++ b/hoplane/lab/fleet_scenario.py
@@ -139,10 +139,10 @@
             try:
                 return await self.run_under_load()
             finally:
-                for each in self.conductors:
-                    if each.process.returncode is None:
-                        each.send_signal(signal.SIGKILL)
-                        await each.process.wait()
+                for conductor in self.conductors:
+                    if conductor.process.returncode is None:
+                        conductor.send_signal(signal.SIGKILL)
+                        await conductor.process.wait()
 
     async def run_under_load(self) -> FleetScenarioResult:
         schedule = self.schedule
--- a/hoplane/lab/lease_scenario.py
+++ b/hoplane/lab/lease_scenario.py
@@ -214,7 +214,7 @@
 
 
 class LeaseScenario:
-    """Runs one schedule."""
+    """Runs the conductors, resources and etcd stand-in of one schedule and injects its faults."""
 
     def __init__(self, schedule: Schedule, resources: int = 2) -> None:
         self.schedule, self.resource_count = schedule, resources
--- a/hoplane/lab/soak.py
+++ b/hoplane/lab/soak.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The result of a soak."""
+    """The counts and the rule violations of one soak test."""
 
     seed: int
     conductors: int
@@ -46,7 +46,7 @@
 
 
 class SoakRunner:
-    """Runs one plan."""
+    """Runs the conductors, endpoints and clients of one plan and returns the outcome."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -86,19 +86,19 @@
             agent = DiscoveryAgent(number, self.fleet)
             await agent.start()
             self.processes.append(ConductorProcess(number, self.plan, self.fleet, agent, self.folder))
-        await asyncio.gather(*(each.start() for each in self.processes))
-        await asyncio.gather(*(each.wait_ready() for each in self.processes))
+        await asyncio.gather(*(process.start() for process in self.processes))
+        await asyncio.gather(*(process.wait_ready() for process in self.processes))
 
     async def run_load(self) -> None:
         """Inject the faults under load, then terminate every conductor gracefully."""
         started = now()
         clients = [
             asyncio.create_task(
-                Client(f"{self.plan.seed}-{each.number}-{index}", each, self.plan, self.record).run(
+                Client(f"{self.plan.seed}-{process.number}-{index}", process, self.plan, self.record).run(
                     started + LOAD_DURATION
                 )
             )
-            for each in self.processes
+            for process in self.processes
             for index in range(self.plan.clients_per_conductor)
         ]
         for event in self.plan.events:
@@ -108,7 +108,7 @@
         await asyncio.gather(*self.tasks)
         await asyncio.sleep(SETTLE_TIME)
         self.record.ended_at = now()
-        await asyncio.gather(*(each.terminate() for each in self.processes))
+        await asyncio.gather(*(process.terminate() for process in self.processes))
 
     def spawn(self, coroutine) -> None:
         self.tasks.add(asyncio.create_task(coroutine))
--- a/hoplane/lab/soak_environment.py
+++ b/hoplane/lab/soak_environment.py
@@ -1,4 +1,4 @@
-"""The environment of a soak: fake endpoints and discovery agents, clients, and conductor processes."""
+"""The environment of a soak test: stand-ins for endpoints and discovery, clients, and conductor processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 FAULT_EVENTS = ("violation", "task_broke", "request_broke", "relay_broke", "loop_fault", "operator_broke")
 RELEASE_WITHIN, DRAIN_GRACE, CONNECT_TIMEOUT = 0.5, 1.0, 0.25
 UNKNOWN_READ_DELAY = 0.3  # seconds after which an endpoint reports that the read is unknown to it
-# As `run` in `deploy/balancer.toml`: SIGHUP is ignored until the program installs its handler.
+# As `run` in `deploy/balancer.toml`: SIGHUP is ignored until the conductor installs its handler.
 LAUNCH_SCRIPT = 'trap \'\' HUP; exec "$0" -c "$1"'
 # The share of requests whose client stalls within them, and the seconds it waits for an error or a close.
 STALL_PROBABILITY, MAX_STALL_WAIT = 0.02, 5.0
@@ -69,7 +69,7 @@
 
 
 class Endpoint:
-    """A fake model server that records the calls it receives and responds according to its faults."""
+    """A model server's stand-in, which records the calls it receives and responds according to its faults."""
 
     def __init__(self, number: int, is_reader: bool, record: SoakRecord, rng: random.Random) -> None:
         self.number, self.is_reader, self.record, self.rng = number, is_reader, record, rng
@@ -145,7 +145,7 @@
         return True
 
     async def reserve(self, trace: RequestTrace) -> str:
-        """Return the status line for a reservation; it stands even if no read is known within the delay."""
+        """Return the status line for a reservation; it is kept even if no read arrives within the delay."""
         deadline = now() + UNKNOWN_READ_DELAY
         while trace.reads_in_flight == 0 and now() < deadline:
             await asyncio.sleep(0.005)
@@ -393,7 +393,7 @@
 
 
 class Client:
-    """A load generator that sends requests to one conductor, also while that shuts down or restarts.
+    """A load generator that sends requests to one conductor, even while the conductor shuts down or restarts.
 
     It reuses its connection where possible."""
 
--- a/hoplane/lab/soak_oracle.py
+++ b/hoplane/lab/soak_oracle.py
@@ -11,7 +11,8 @@
 RESERVATION_TOLERANCE = 0.3  # seconds by which a reservation may exceed the configured limit
 SIGTERM_ACCEPT_WINDOW = 0.7  # seconds after SIGTERM; requests until then may be unanswered at SIGKILL
 STALLED_CLIENT_TIMEOUT = 3.0  # seconds within which a stalled client must get an error or a close
-# Seconds after a request's last byte: a connection that ends later ended after the request had been read.
+# Seconds after a request's last byte. If the connection ends later than this, the conductor has certainly
+# read the request.
 CERTAIN_READ_DELAY = 0.05
 
 
--- a/hoplane/lab/soak_plan.py
+++ b/hoplane/lab/soak_plan.py
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SoakPlan:
-    """One soak test."""
+    """The parameters and fault events of one soak test."""
 
     seed: int
     conductors: int
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
         raise pytest.UsageError(f"{KNOWN_RED.name}: at most {MAX_KNOWN_RED} lines")
     found = {item.nodeid: item for item in items}
     runs_all_tests = not config.option.keyword and all(
-        Path(str(each).split("::")[0]).is_dir() for each in config.args
+        Path(str(argument).split("::")[0]).is_dir() for argument in config.args
     )
     if runs_all_tests and (missing := set(known) - set(found)):
         raise pytest.UsageError(f"{KNOWN_RED.name}: no such test: {min(missing)}")
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -184,7 +184,7 @@
 
 
 class NoDriftMargin(LeaseTerms):
-    """Faulty terms without a drift margin: the lease is taken to live for its whole TTL."""
+    """Faulty terms without a drift margin: the lease is assumed to be valid for its whole TTL."""
 
     @property
     def safe_lifetime(self):
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Test doubles for clients, endpoints and discovery, and the real program as a process."""
+"""Stand-ins for clients, endpoints and discovery, and the conductor as a process."""
 
 import asyncio
 import json
@@ -182,7 +182,7 @@
 
 
 class Program:
-    """The program as a process, with its log."""
+    """A conductor process, with its log."""
 
     def __init__(self, process, address):
         self.process, self.address, self.log = process, address, []
@@ -191,7 +191,7 @@
         """Wait for a log line of an event."""
         while True:
             raw = await within(self.process.stderr.readline())
-            assert raw, f"the program ended before it said {event}: {self.log}"
+            assert raw, f"the conductor ended before it logged {event}: {self.log}"
             print(raw.decode(), end="")
             self.log.append(json.loads(raw))
             if self.log[-1]["event"] == event:
@@ -209,7 +209,7 @@
         return await within(self.process.wait())
 
     async def faults(self):
-        """Stop the program and return the log lines that report internal faults."""
+        """Stop the conductor and return the log lines that report internal faults."""
         assert await self.stop() == 0
         lines = [json.loads(line) for line in (await within(self.process.stderr.read())).splitlines()]
         fault_events = ("library", "task_broke", "request_broke", "relay_broke", "loop_fault")
@@ -230,7 +230,7 @@
 
 
 async def spawn(*arguments, pass_fds=(), first="", **environ):
-    """Start the program; `first` is code to run in its process before it, for example to lengthen a delay."""
+    """Start a conductor; `first` is code to run in its process before it, for example to lengthen a delay."""
     command = ("-c", f"{first}\nimport sys; from hoplane import __main__ as it; sys.exit(it.start())")
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -258,7 +258,7 @@
 
 @asynccontextmanager
 async def platform(tmp_path, entries, address=None, environ=None, pass_fds=(), first="", **changes):
-    """Start the program as the platform does, with a discovery that lists the entries."""
+    """Start a conductor as the platform does, with a discovery that lists the entries."""
     address = address or f"127.0.0.1:{free_port()}"
     async with Discovery(entries) as discovery:
         config = {
--- a/tests/test_aiohttp_internals.py
+++ b/tests/test_aiohttp_internals.py
@@ -96,7 +96,7 @@
 
 
 class RawEndpoint:
-    """An endpoint that writes at once, without a pass of the event loop in between."""
+    """An endpoint that writes immediately, without a pass of the event loop in between."""
 
     def __init__(self):
         self.listener = socket.socket()
--- a/tests/test_bad_peers.py
+++ b/tests/test_bad_peers.py
@@ -89,7 +89,7 @@
         assert time.monotonic() - started_at < 3, name
         assert not got or got.split()[1][:1] in b"45", (name, got)
 
-    await asyncio.gather(*(check_case(*each) for each in MALFORMED_REQUESTS.items()))
+    await asyncio.gather(*(check_case(*case) for case in MALFORMED_REQUESTS.items()))
     assert not any(server.calls_to("POST") for server in servers), "no malformed request reached an endpoint"
 
 
@@ -142,7 +142,7 @@
             assert time.monotonic() - started_at < 6
             with open(f"/proc/{program.process.pid}/status") as process_status:
                 peak = next(int(line.split()[1]) for line in process_status if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "KiB: the body is not stored"
+            assert peak < 64 * 1024, "peak memory in KiB: the body is not stored"
 
     run(test())
 
@@ -247,7 +247,8 @@
 
 
 def test_a_request_reset_before_its_last_byte_is_retried_and_runs_once(tmp_path):
-    # The reset must arrive while the last byte is delayed, on a slow machine too: the delay is a hundredfold.
+    # The reset must arrive while the last byte is delayed, even on a slow machine, so the delay is multiplied
+    # by 100.
     longer_delay = "from hoplane.net import pool; pool.LAST_BYTE_DELAY *= 100"
 
     async def test():
@@ -277,7 +278,7 @@
         ):
             booked = await program.send_request(chat(cls="booking"))
             assert booked[0].split()[1] == "502", (name, booked)
-            assert len(program.writer.calls_to("POST /v1/chat")) == 1, "it may have run"
+            assert len(program.writer.calls_to("POST /v1/chat")) == 1, "the request may have run"
             assert await program.writer.closed.get(), "its connection is not reused"
             await program.discovery.publish([*program.entries, entry("w2", second.address, "decode")])
             while (await program.line("endpoints"))["known"] != 3:
@@ -287,7 +288,7 @@
             assert not await program.faults()
 
     async def test():
-        tasks = (check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
+        tasks = (check_case(tmp_path / str(at), *case) for at, case in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
@@ -311,11 +312,11 @@
             assert await program.writer.closed.get()
             with open(f"/proc/{program.process.pid}/status") as process_status:
                 peak = next(int(line.split()[1]) for line in process_status if line.startswith("VmHWM"))
-            assert peak < 64 * 1024, "KiB"
+            assert peak < 64 * 1024, "peak memory in KiB"
 
     async def test():
         tasks = (
-            check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_CONTINUATIONS.items())
+            check_case(tmp_path / str(at), *case) for at, case in enumerate(MALFORMED_CONTINUATIONS.items())
         )
         await asyncio.gather(*tasks)
 
@@ -367,7 +368,7 @@
             assert not await program.faults()
 
     async def test():
-        tasks = (check_case(tmp_path / str(at), *each) for at, each in enumerate(MALFORMED_RESPONSES.items()))
+        tasks = (check_case(tmp_path / str(at), *case) for at, case in enumerate(MALFORMED_RESPONSES.items()))
         await asyncio.gather(*tasks)
 
     run(test())
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""Leader election with several real conductors, a fake etcd and network faults: one holder at a time."""
+"""Leader election with conductor processes, the etcd stand-in and network faults: one holder at a time."""
 
 import time
 
@@ -75,7 +75,7 @@
     assert "not renewed in time" in lost
 
 
-def test_graceful_shutdown_of_the_holder_hands_the_lease_over_at_once():
+def test_graceful_shutdown_of_the_holder_hands_the_lease_over_immediately():
     begun = time.monotonic()
     result = lease_scenario.run_scenario(Schedule("order", 2, 3, ()))
     assert result.violations == [] and time.monotonic() - begun < 15
@@ -104,7 +104,7 @@
     assert len(find_violations(actions, across_resources)) == count
 
 
-def test_a_seed_draws_the_same_schedule_and_unfenced_schedules_have_only_faults_within_the_safety_margin():
+def test_schedules_are_reproducible_and_unfenced_ones_exclude_faults_that_need_fencing():
     assert draw_schedule(5, 4, TTL, 0.02) == draw_schedule(5, 4, TTL, 0.02) != draw_schedule(6, 4, TTL, 0.02)
     for seed in range(60):
         for fault in draw_schedule(seed, 4, TTL, 0.02, fenced=False).faults:
--- a/tests/test_estimators.py
+++ b/tests/test_estimators.py
@@ -20,7 +20,7 @@
 
 
 def count_refusals(harness, most=6):
-    """Submit requests with unknown prefixes all at once and count the refusals."""
+    """Submit requests with unknown prefixes at the same time and count the refusals."""
     refused = 0
     for number in range(most):
         harness.submit(f"b{number}", prompt_tokens=3000, prefix=f"t{number}", prefix_tokens=2000)
@@ -35,7 +35,7 @@
         harness.outcome(Status.MISS, READER_A, f"r{number}", detail=2900)
         harness.disconnect(f"r{number}")
     harness.router.read_speed = 10_000.0
-    assert count_refusals(harness) == 0, "an estimate of 600 unread tokens, not 18,000"
+    assert count_refusals(harness) == 0, "600 tokens are estimated as unread, not 18,000"
 
 
 def test_prefixes_that_nobody_has_read_count_as_unread():
@@ -58,7 +58,7 @@
 
 
 def silent_reader(harness, request):
-    """Let a read see no activity until the reader is probed."""
+    """Submit a request whose reader stays silent until it is probed."""
     harness.submit(request, session=request)
     harness.run_timers(harness.now + 350 * MS)
 
@@ -72,7 +72,7 @@
 def test_probe_timeout_is_ignored_after_a_false_one():
     harness = Harness(fleet=ONE_READER, probes=True)
     silent_reader(harness, "first")
-    assert probe_times_out(harness), "no sign yet that probes wait in the queue"
+    assert probe_times_out(harness), "nothing has shown yet that probes wait in the queue"
     harness.outcome(Status.MISS, READER_A, "first")  # it was alive and had read the prompt
     harness.disconnect("first")
     harness.run_timers(harness.now + 9 * S)
@@ -169,8 +169,8 @@
         harness.outcome(Status.MISS, sent[0], request, after=0)
         written += number >= 120 and len(harness.sent())
         harness.disconnect(request)
-    assert 40 <= written <= 62, "about 0.8 * 0.75 of the 100"
-    assert reads == written, "no read without a writer for its state"
+    assert 40 <= written <= 62, "the writers get about 0.8 * 0.75 of the 100 requests"
+    assert reads == written, "no request is read without a writer for its read state"
 
 
 def test_retries_add_no_slow_start_credit():
@@ -179,17 +179,17 @@
         harness.submit(f"r{number}", after=100 * MS, retry=True)
         reads += len(harness.sent())
         harness.disconnect(f"r{number}")
-    assert reads < 25, "the sends themselves add some credit"
+    assert reads < 25, "only the sends themselves add some credit"
 
 
-def test_one_slow_read_does_not_cause_refusals_for_ever():
-    """A conductor of many sees few reads, so one slow read must not keep it from sending another."""
+def test_one_slow_read_does_not_cause_refusals_permanently():
+    """One of many conductors observes few reads, so one slow read must not keep it from sending another."""
     harness = Harness(writers_read=False)
     harness.submit("slow")
     harness.outcome(api.Status.MISS, harness.sent()[0], "slow", after=2500 * MS)
     writer = harness.sent()[0]
     harness.submit("at once", prompt_tokens=2500)
-    assert harness.final_answers() == [api.Refuse], "a recent delay counts"
+    assert harness.final_answers() == [api.Refuse], "the recent delay counts"
     harness.first_token(writer, "slow")
     harness.outcome(api.Status.OK, writer, "slow", 1, after=S, closed=True)
     refused = 0
@@ -202,14 +202,14 @@
         writer = harness.sent()[0]
         harness.first_token(writer, f"q{n}")
         harness.outcome(api.Status.OK, writer, f"q{n}", 1, after=100 * MS, closed=True)
-    assert refused <= 5, "until the delay expires and another read is observed"
+    assert refused <= 5, "requests are refused only until the delay expires and another read is observed"
 
 
 def test_read_time_of_a_long_prompt_is_weighted_by_the_observed_share():
-    """One of many routers overestimates it.
+    """One of many routers overestimates the read time of a long prompt.
 
-    Other routers' work delayed the reads that it observed, and left more tokens cached.
-    """
+    The reads that it observed were delayed by other routers' work, which also increased the number of
+    cached tokens."""
 
     def final_answers(routers):
         harness = Harness(FLEET[1:], writers_read=False, routers=routers, retry_after=True)
@@ -219,5 +219,7 @@
         harness.submit("long", prompt_tokens=6000, after=10 * MS)
         return harness.final_answers()
 
-    assert final_answers(1) == [api.Refuse], "2.7 s at an aim of 1 s, with one router for the one reader"
-    assert final_answers(30) == [], "one thirtieth of that counts"
+    assert final_answers(1) == [api.Refuse], (
+        "the estimate of 2.7 s exceeds the target time of 1 s, with one router for the one reader"
+    )
+    assert final_answers(30) == [], "one thirtieth of the estimate counts, with 30 routers"
--- a/tests/test_failure_handling.py
+++ b/tests/test_failure_handling.py
@@ -46,7 +46,7 @@
     assert harness.sent() and harness.sent() != [first], "two resets of new connections in a row do eject"
 
 
-def test_server_that_refuses_at_once_does_not_attract_all_requests():
+def test_server_that_refuses_immediately_does_not_attract_all_requests():
     harness = Harness(fleet=MANY_READERS)
     bad = first_reader(harness)
     sends = 0
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("status", [Status.ERROR, Status.CONNECT_FAILED])
 def test_reader_that_has_only_failed_is_ranked_last_for_a_while(status):
-    """Dead servers of an outdated list refuse at once and would cost every request an attempt."""
+    """Dead servers of an outdated list refuse immediately and would cost every request an attempt."""
     harness = Harness(fleet=MANY_READERS)
     first = first_reader(harness)
     harness.outcome(status, first, "probe", after=2 * MS)
@@ -106,11 +106,13 @@
     assert harness.sent() == [first]
 
 
-def play_with_failing_writer(effect, seed):
-    """Run requests over many writers, one of which fails at once; return sends and lost requests."""
+def run_with_failing_writer(effect, seed):
+    """Run requests over many writers, one of which fails fast.
+
+    Returns the number of sends by writer and the number of lost requests."""
     writers = [entry(100 + n, "writer") for n in range(12)]
     harness = Harness(fleet=(entry(READER_A, "reader"), *writers), effect=effect, seed=seed)
-    sends, lost = Counter(), 0
+    sends_by_writer, lost_requests = Counter(), 0
     for number in range(60):
         name = f"r{number}"
         harness.submit(name, after=50 * MS, time_left=60 * S)
@@ -118,20 +120,20 @@
         for attempt in range(1, 6):
             if not harness.sent() or (writer := harness.sent()[0]) == READER_A:
                 break
-            sends[writer] += 1
+            sends_by_writer[writer] += 1
             if writer != 100:
                 harness.first_token(writer, name, attempt)
                 break
             harness.outcome(Status.ERROR, writer, name, attempt, after=3 * MS)
-            lost += api.Fail in harness.final_answers()
-    return sends, lost
+            lost_requests += api.Fail in harness.final_answers()
+    return sends_by_writer, lost_requests
 
 
 @pytest.mark.parametrize("effect", [Idempotency.SAFE, Idempotency.UNSAFE])
 def test_writer_that_fails_fast_does_not_attract_requests(effect):
-    found = [play_with_failing_writer(effect, seed) for seed in range(10)]
-    assert max(sends[100] for sends, _ in found) <= 2, "its first error counts"
-    assert all(sends[100 + n] for sends, _ in found for n in range(1, 12) if effect is Idempotency.SAFE)
+    results = [run_with_failing_writer(effect, seed) for seed in range(10)]
+    assert max(sends[100] for sends, _ in results) <= 2, "its first error counts"
+    assert all(sends[100 + n] for sends, _ in results for n in range(1, 12) if effect is Idempotency.SAFE)
 
 
 def test_read_at_a_silent_reader_is_retried_elsewhere_in_time():
@@ -206,13 +208,13 @@
 
 
 @pytest.mark.parametrize("fleet", [FLEET[2:], FLEET[:2], ()])
-def test_request_ends_at_once_if_a_stage_has_no_server(fleet):
+def test_request_ends_immediately_if_a_stage_has_no_server(fleet):
     harness = Harness(fleet=fleet, writers_read=False)
     harness.submit()
     assert harness.sent() == [] and harness.final_answers() == [api.Refuse]
 
 
-def test_request_is_refused_with_retry_after_if_all_writers_are_ejected_beyond_its_aim():
+def test_request_is_refused_with_retry_after_if_all_writers_stay_ejected_beyond_its_target_time():
     harness = Harness(retry_after=True, max_retry_after=3 * S)
     for writer, span in ((WRITER_A, 5 * S), (WRITER_B, 2 * S)):
         harness.router.servers[writer].ejected_until = harness.now + span
@@ -235,7 +237,7 @@
     assert harness.sent()[0] in (WRITER_A, WRITER_B)
 
 
-def test_read_state_is_released_at_once_if_no_writer_is_left(harness):
+def test_read_state_is_released_immediately_if_no_writer_is_left(harness):
     harness.submit()
     reader = harness.sent()[0]
     removed = tuple(entry(s, "writer", c, api.State.GONE) for s, c in ((WRITER_A, 0), (WRITER_B, 1)))
@@ -273,7 +275,7 @@
     assert harness.sent()[0] in (WRITER_A, WRITER_B)
 
 
-def test_requests_are_refused_at_once_if_readers_and_writers_are_congested():
+def test_requests_are_refused_immediately_if_readers_and_writers_are_congested():
     harness = congested_readers()
     for writer in (WRITER_A, WRITER_B):
         harness.router.servers[writer].queue_delay = 2 * S
@@ -313,7 +315,7 @@
 
 
 def test_without_retry_after_a_retry_has_the_limit_of_a_first_try():
-    """Without Retry-After a client retries at once and meets the same queue.
+    """Without Retry-After a client retries immediately and meets the same queue.
 
     A stricter limit would only use up its attempts.
     """
@@ -360,7 +362,7 @@
     assert harness.router.servers[first] in harness.router.available_servers((api.Role.READ,))
 
 
-def test_request_without_an_available_reader_is_refused_at_once_if_late():
+def test_request_without_an_available_reader_is_refused_immediately_if_late():
     harness = Harness(writers_read=False)
     harness.router.servers[READER_A].ejected_until = harness.router.servers[READER_B].ejected_until = (
         harness.now + 9 * S
@@ -462,7 +464,7 @@
     raise AssertionError("nothing was refused")
 
 
-def test_requests_are_refused_at_once_if_recent_reservations_failed():
+def test_requests_are_refused_immediately_if_recent_reservations_failed():
     harness = with_failed_reservations()
     harness.submit("late")
     assert harness.sent() == [] and harness.final_answers() == [api.Refuse]
@@ -603,10 +605,10 @@
     reader = harness.router.servers[READER_A]
     for prefix in ("a", "b"):
         harness.serve(prefix, prompt_tokens=5000, prefix=prefix, prefix_tokens=4000)
-    harness.submit("kept", session="n1", prompt_tokens=5000, prefix="a", prefix_tokens=4000)
+    harness.submit("cached", session="n1", prompt_tokens=5000, prefix="a", prefix_tokens=4000)
     harness.submit("next", session="n2", prompt_tokens=5000, prefix="b", prefix_tokens=4000)
     assert reader.queued_tokens == 2000
-    harness.outcome(Status.MISS, READER_A, "kept", detail=4000)
+    harness.outcome(Status.MISS, READER_A, "cached", detail=4000)
     assert reader.queued_tokens == 1000, "cached as expected: nothing was lost"
     harness.submit("lost", session="n3", prompt_tokens=5000, prefix="a", prefix_tokens=4000)
     harness.outcome(Status.MISS, READER_A, "lost", detail=0)
@@ -629,12 +631,12 @@
     return harness, reader
 
 
-def test_silent_server_that_fails_a_probe_is_left_at_once():
+def test_work_at_a_silent_server_is_cancelled_at_once_if_a_probe_fails():
     harness, reader = silent_reader()
     harness.send_event(api.ProbeResult(reader, Status.TIMEOUT, 300 * MS), after=250 * MS)
     assert harness.actions_of(api.Cancel) == [api.Cancel("probe", 0)]
     harness.outcome(Status.CANCELLED, reader, "probe")
-    assert harness.sent() and harness.sent() != [reader], "in time for a read elsewhere"
+    assert harness.sent() and harness.sent() != [reader], "there is still time for a read elsewhere"
     harness.disconnect("probe")
     harness.submit("r2", session="p")
     assert harness.sent() != [reader]
@@ -661,7 +663,9 @@
     )
     harness.send_event(api.ProbeResult(reader, Status.OK, MS, {"x0": 0.1, "x1": 0.4}))
     harness.run_timers(harness.now + 200 * MS)
-    assert harness.actions_of(api.Cancel) == [api.Cancel("probe", 0)], "in time for a read elsewhere"
+    assert harness.actions_of(api.Cancel) == [api.Cancel("probe", 0)], (
+        "there is still time for a read elsewhere"
+    )
     harness.outcome(Status.CANCELLED, reader, "probe")
     assert harness.sent() and harness.sent() != [reader]
     harness.disconnect("probe")
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -1,4 +1,4 @@
-"""Partitions and failing system calls with the real program (issue 28).
+"""Partitions and failing system calls with conductor processes (issue 28).
 
 Abandoned requests must never arrive later, and a failed system call must not fail a request."""
 
@@ -20,7 +20,7 @@
 
 @asynccontextmanager
 async def partitioned(tmp_path, read=complete_read, write=stream_response, **options):
-    """Run the program with a partitionable path to each endpoint, both used by one request before."""
+    """Run a conductor with a partitionable path to each endpoint, both used by one request before."""
     async with (
         Server(read) as reader,
         Server(write) as writer,
@@ -146,7 +146,9 @@
                         program.process.terminate()
                     started = loop.time()
                     answers = await asyncio.gather(*requests)
-                    assert all(each and each[0].split()[1] in ("200", "503") for each in answers), answers
+                    assert all(answer and answer[0].split()[1] in ("200", "503") for answer in answers), (
+                        answers
+                    )
                     assert stop or loop.time() - started < 4, "before the clients' deadline"
                 assert await within(program.process.wait()) == 0
 
--- a/tests/test_hard_rules.py
+++ b/tests/test_hard_rules.py
@@ -1,4 +1,4 @@
-"""The rules that must hold under all faults, tested without the bench.
+"""Tests the rules that must hold under all faults, on a router alone.
 
 No request is lost, no effect happens twice, drains are respected, cold servers are not overloaded, and no
 read state stays held. Each test fails if the line that implements its rule is removed.
@@ -225,7 +225,7 @@
 
 def test_slow_start_credit_accrues_at_its_rate_between_rare_checks():
     """Each of many routers sends little; together they use the whole share."""
-    taken = 0
+    allowed_sends = 0
     for seed in range(40):
         harness = Harness(seed=seed, routers=40)
         started_at = harness.now
@@ -238,9 +238,9 @@
             harness.router.recent_sends[False].add(harness.router.now, 0.7)  # one per second
             if harness.router.slow_start_allows(server):
                 server.credit = 0.0
-                taken += 1
+                allowed_sends += 1
     mean = 40 * 0.5  # sends per second to a warm writer
-    assert 0.3 < taken / 10 / mean < 0.3 * 2.5
+    assert 0.3 < allowed_sends / 10 / mean < 0.3 * 2.5
 
 
 # --- read states are released
--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -1,4 +1,4 @@
-"""Tests of the v2 front, with simulated v2 servers and clients."""
+"""Tests of the v2 front, with stand-ins for v2 servers and clients."""
 
 import asyncio
 import json
@@ -67,7 +67,7 @@
 
 @asynccontextmanager
 async def sidecar(tmp_path, *servers, allowed="", first=""):
-    """Start the program with the repository's sample configuration, at the test's address and endpoints."""
+    """Start a conductor with the repository's sample configuration, at the test's address and endpoints."""
     address = f"127.0.0.1:{free_port()}"
     text = (ROOT / "deploy/kserve.toml").read_text()
     text = text.replace("[settings.allowed]\n", f"[settings.allowed]\n{allowed}\n")
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,6 @@
-"""Leader election: the state machine in a fleet model and in single cases, and the client on a fake etcd."""
+"""Tests of leader election.
+
+The state machine in a fleet model and in individual cases, and the client against the etcd stand-in."""
 
 import asyncio
 from datetime import timedelta
@@ -127,7 +129,7 @@
     assert machine.valid_until == valid_until and machine.phase is Phase.HOLDING
 
 
-def test_expired_lease_ends_the_tenure_at_once():
+def test_expired_lease_ends_the_tenure_immediately():
     machine = holding_machine()
     machine.handle(TERMS.renew_interval, Tick())
     assert [type(e) for e in machine.handle(ms(700), LeaseExpired(TERMS.renew_interval, 7))] == [TenureEnded]
@@ -196,7 +198,7 @@
         LeaseTerms(**{"ttl": ms(2000), "action_timeout": ms(200), **terms})
 
 
-# --- the fake etcd
+# --- the etcd stand-in
 
 
 def test_store_deletes_the_keys_of_a_lease_in_one_revision_and_compacts_history():
@@ -219,7 +221,7 @@
     assert store.revision == 3, "a rejected transaction changes nothing"
 
 
-def test_client_works_with_the_fake_etcd():
+def test_client_works_with_the_etcd_stand_in():
     async def run_test():
         async with EtcdStub() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
@@ -249,7 +251,7 @@
     asyncio.run(run_test())
 
 
-def test_watch_from_a_compacted_revision_returns_at_once_and_a_restart_breaks_a_watch():
+def test_watch_from_a_compacted_revision_returns_immediately_and_a_restart_breaks_a_watch():
     async def run_test():
         async with EtcdStub() as engine:
             etcd = EtcdClient([engine.address], timedelta(seconds=2))
@@ -284,7 +286,7 @@
     asyncio.run(run_test())
 
 
-def test_fake_etcd_reports_errors_like_the_gateway():
+def test_etcd_stand_in_reports_errors_like_the_gateway():
     async def run_test():
         async with EtcdStub() as engine, aiohttp.ClientSession() as session:
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -15,7 +15,7 @@
     return Pacing(polled, random.Random(seed))
 
 
-def test_few_conductors_retry_a_lost_watch_at_once_and_back_off_if_it_stays_lost():
+def test_few_conductors_retry_a_lost_watch_immediately_and_back_off_if_it_stays_lost():
     pacing = polling_pacing(4)
     assert pacing.next_call()[1] < timedelta(seconds=1.1)
     assert pacing.failed(timed_out=False) < timedelta(milliseconds=200), "the watch survives the gap"
@@ -29,16 +29,18 @@
     many = [polling_pacing(40, seed, position=seed) for seed in range(40)]
     assert {pacing.next_call()[1] for pacing in many} == {MAX_CALL_TIMEOUT}
     backoffs = [pacing.failed(timed_out=False) for pacing in many]
-    assert backoffs == sorted(backoffs), "staggered by position"
-    assert backoffs[-1] - backoffs[0] > timedelta(seconds=1.5), "a service time for each conductor"
+    assert backoffs == sorted(backoffs), "retries are staggered by position"
+    assert backoffs[-1] - backoffs[0] > timedelta(seconds=1.5), (
+        "the retries are spread over the time that the service takes for all conductors"
+    )
 
 
 @pytest.mark.parametrize("conductors", [1, 4, 40, 230, 1100])
-def test_a_call_is_answered_within_the_staleness_limit_whatever_happens_to_calls(conductors):
-    """Calls are refused at once, rejected after queueing, or time out, in any order.
+def test_a_call_is_answered_within_the_staleness_limit_after_any_sequence_of_failures(conductors):
+    """Calls are refused immediately, rejected after queueing, or time out, in any order.
 
-    Discovery may have a change right after the last good call, or right after any later call. Then the next
-    call that is not rejected must be answered within six seconds of that."""
+    A change may happen in discovery right after the last successful call, or right after any later call. The
+    next call that is not rejected must be answered within six seconds of the change."""
     for seed in range(100):
         rng = random.Random(seed)
         pacing = polling_pacing(conductors, seed, position=rng.randrange(conductors))
@@ -51,7 +53,9 @@
             backoff = pacing.failed(timed_out, since_success)
             if since_success < MAX_BACKOFF:
                 assert now + backoff <= MAX_BACKOFF, "the next call still starts in time"
-            assert backoff + MAX_QUEUE_TIME <= MAX_STALENESS, "also after a refused or rejected call"
+            assert backoff + MAX_QUEUE_TIME <= MAX_STALENESS, (
+                "the limit also holds after a refused or rejected call"
+            )
             if timed_out:
                 assert now + backoff + MAX_QUEUE_TIME <= call + MAX_STALENESS
             now += backoff
@@ -70,7 +74,7 @@
 @pytest.mark.parametrize("grace", [250 * MS, S, 4 * S])
 @pytest.mark.parametrize("conductors", [1, 4, 230, 1100])
 def test_pushed_changes_are_received_within_half_the_drain_grace(conductors, grace):
-    """The agent answers at once, but may never answer a call from before discovery recovered."""
+    """The agent answers immediately, but may never answer a call from before discovery recovered."""
     for seed in range(50):
         pacing = Pacing(settings(routers=conductors, drain_grace=grace), random.Random(seed))
         assert pacing.next_call()[0] + pacing.next_call()[1] < timedelta(
@@ -115,5 +119,9 @@
     for seed in range(20):
         answer_times, call_count = simulate_overload(seed, rate=rate)
         assert len(answer_times) == 40
-        assert max(answer_times) < all_by, "hardly more than the 8 and 26.7 s of one call each"
-        assert call_count < 40 * (1 + max(answer_times) / 2), "at most one call each in two seconds"
+        assert max(answer_times) < all_by, (
+            "little more than the 8 and 26.7 s that one call of each conductor takes"
+        )
+        assert call_count < 40 * (1 + max(answer_times) / 2), (
+            "each conductor makes at most one call in two seconds"
+        )
--- a/tests/test_path_selection.py
+++ b/tests/test_path_selection.py
@@ -226,8 +226,10 @@
     assert 3 < len(chosen) <= 20
 
 
-def test_prefix_hardly_seen_by_each_of_many_routers_is_spread_over_readers():
-    """A router that has seen many requests still sends a rare prefix to its first reader."""
+def test_prefix_that_each_of_many_routers_sees_rarely_is_spread_over_readers():
+    """A router that has seen few requests spreads a prefix, since other routers may see it too.
+
+    A router that has seen many requests sends a rare prefix to its first reader."""
     fleet = tuple(entry(100 + n, "reader") for n in range(60)) + FLEET[2:]
 
     def first_reader(router, before, routers):
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -72,7 +72,7 @@
     assert invariants.handler_ended("e") is Violation.ENDED_UNANSWERED and invariants.total == 3
 
 
-ENDS = st.sampled_from([each for each in Status if each is not Status.MOOT])
+ENDS = st.sampled_from([status for status in Status if status is not Status.MOOT])
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["end", "hold", "begin", "left", "due", "drain", "close"]),
@@ -100,21 +100,25 @@
         self.perform(self.harness.submit(cls=name))
 
     def perform(self, effects):
-        for each in effects:
-            if isinstance(each, ev.Forward):
+        for effect in effects:
+            if isinstance(effect, ev.Forward):
                 assert not self.answers and not self.client_disconnected, (
                     "nothing is sent for a request that has ended"
                 )
-                allowed = self.harness.state.send_denial(each, self.harness.now, False, None)
+                allowed = self.harness.state.send_denial(effect, self.harness.now, False, None)
                 assert allowed is None, "an attempt may be sent at the moment of the decision"
-                self.open_attempts.add(each.attempt)
-                self.writes += not each.is_read
-            elif isinstance(each, ev.Reserve):
-                self.reservations.append(each.attempt)
-            elif isinstance(each, ev.Refuse | ev.Fail):
+                self.open_attempts.add(effect.attempt)
+                self.writes += not effect.is_read
+            elif isinstance(effect, ev.Reserve):
+                self.reservations.append(effect.attempt)
+            elif isinstance(effect, ev.Refuse | ev.Fail):
                 self.answers += 1
-            elif isinstance(each, ev.SetTimer) and isinstance(each.timer, tuple) and each.timer[1] is None:
-                self.deadline = each
+            elif (
+                isinstance(effect, ev.SetTimer)
+                and isinstance(effect.timer, tuple)
+                and effect.timer[1] is None
+            ):
+                self.deadline = effect
 
     def step(self, kind, which, status, wait):
         after = timedelta(milliseconds=wait)
@@ -147,7 +151,7 @@
             self.perform(self.harness.apply(ev.ClientDisconnected("q"), after))
         elif kind == "drain":
             listed = list(self.harness.state.fleet.values())[which % 3 :][:1]
-            drained = tuple(replace(each, state=State.DRAINING) for each in listed)
+            drained = tuple(replace(endpoint, state=State.DRAINING) for endpoint in listed)
             self.perform(self.harness.apply(ev.EndpointsUpdated(drained, False), after))
         elif kind == "close":
             self.perform(self.harness.apply(ev.RequestInterrupted("q"), after))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""End-to-end tests of the program on the platform's protocol, with test clients, endpoints and discovery."""
+"""End-to-end tests of the conductor on the platform's protocol, with stand-ins for all its peers."""
 
 import asyncio
 import json
@@ -195,7 +195,7 @@
     run(test())
 
 
-def test_path_and_query_are_unchanged_also_in_an_absolute_url_and_after_100_continue(tmp_path):
+def test_path_and_query_are_unchanged_including_absolute_urls_and_100_continue(tmp_path):
     async def test():
         async with running_conductor(tmp_path) as program:
             query = "?a=%7e%2F&b=+x"
@@ -301,7 +301,7 @@
     run(test())
 
 
-def test_a_request_without_a_usable_endpoint_is_refused_at_once(tmp_path):
+def test_a_request_without_a_usable_endpoint_is_refused_immediately(tmp_path):
     async def test():
         endpoints = [
             entry("r1", "127.0.0.1:1", "prefill"),
@@ -453,10 +453,12 @@
 
 
 @pytest.mark.parametrize(("kind", "grace", "silent", "max_seconds"), [("push", 4, 2.5, 4), ("ask", 1, 0, 7)])
-def test_one_of_230_conductors_applies_a_drain_in_time_after_a_silent_discovery(
+def test_one_of_230_conductors_applies_a_drain_in_time_after_discovery_was_unresponsive(
     tmp_path, kind, grace, silent, max_seconds
 ):
-    """Push: what the agent gets when it returns counts at once. Ask: 6 s after a watch became silent."""
+    """With `push`, changes that the agent receives after an outage must be applied within the drain grace.
+
+    With `ask`, a change must be applied within 6 s after the watch stopped responding."""
     settings = {**SETTINGS, "balancers": 230, "discovery": kind, "rules": {"drain_grace": grace * 10**9}}
 
     async def test():
@@ -884,7 +886,9 @@
             known = {"index": 0, "snapshot": True, "endpoints": listed[:2]}
             async with platform(tmp_path, listed, known=known, settings=settings) as program:
                 assert [line["known"] for line in program.log if line["event"] == "endpoints"] == [2, 1100]
-                await program.discovery.publish([{**each, "status": "Terminating"} for each in listed[:600]])
+                await program.discovery.publish(
+                    [{**listed_entry, "status": "Terminating"} for listed_entry in listed[:600]]
+                )
                 assert len((await program.line("endpoints"))["not_live"]) == 600
                 for n in range(30):
                     assert (await program.send_request(chat(f"r{n}")))[0].split()[1] == "200"
--- a/tests/test_race_conditions.py
+++ b/tests/test_race_conditions.py
@@ -24,7 +24,7 @@
 
 
 class Client(socket.socket):
-    """A client that sends at once, without an iteration of the event loop."""
+    """A client that sends immediately, without an iteration of the event loop."""
 
     def __init__(self, port):
         super().__init__()
@@ -61,8 +61,8 @@
         yield front_server
     finally:
         await front_server.close_listener()
-        for each in front_server.http_server.connections:
-            each.force_close()
+        for connection in front_server.http_server.connections:
+            connection.force_close()
 
 
 async def idle_connection(front_server, client=None):
@@ -71,7 +71,9 @@
     client.send(REQUEST)
     assert (await client.read_response()).endswith(b"well")
     (connection,) = [
-        each for each in front_server.http_server.connections if each.peername == client.getsockname()
+        candidate
+        for candidate in front_server.http_server.connections
+        if candidate.peername == client.getsockname()
     ]
     while not connection.idle:
         await asyncio.sleep(0)
@@ -105,7 +107,7 @@
 
 @pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection", "_process_keepalive"])
 @pytest.mark.parametrize("arrival", ["unread request", "partial head"])
-def test_idle_connection_is_to_be_closed_as_a_request_arrives(monkeypatch, close, arrival):
+def test_request_arrives_while_an_idle_connection_is_about_to_be_closed(monkeypatch, close, arrival):
     for span in ("NEW_CONNECTION_GRACE", "CLIENT_IDLE_TIMEOUT"):  # long enough for a slow machine
         monkeypatch.setattr(aiohttp_internals, span, timedelta(seconds=60))
 
@@ -128,15 +130,15 @@
 
 
 @pytest.mark.parametrize("close", ["close_idle_connections", "evict_connection"])
-def test_new_connection_is_to_be_closed_while_its_first_request_is_on_the_way(monkeypatch, close):
+def test_first_request_is_in_transit_while_its_new_connection_is_about_to_be_closed(monkeypatch, close):
     monkeypatch.setattr(aiohttp_internals, "NEW_CONNECTION_GRACE", timedelta(seconds=60))
 
     async def test():
         async with run_server() as front_server:
             clients = [Client(front_server.port) for _ in range(2)]
-            while len(found := [each for each in front_server.http_server.connections if each.idle]) < 2:
+            while len(found := [conn for conn in front_server.http_server.connections if conn.idle]) < 2:
                 await asyncio.sleep(0)
-            (old,) = [each for each in found if each.peername == clients[0].getsockname()]
+            (old,) = [conn for conn in found if conn.peername == clients[0].getsockname()]
             old.idle_since -= 61
             getattr(front_server.http_server, close)()
             assert await clients[0].read_to_end() == b"", "one that has been silent for long may be closed"
@@ -209,9 +211,10 @@
 
 @pytest.mark.parametrize("read", [True, False])
 def test_request_arrives_right_after_the_last_response_of_a_shutdown(monkeypatch, read):
-    """The response's head was sent before the shutdown, so the client could not know that it closes.
+    """The response's head was sent before the shutdown.
 
-    A request that was read is answered. One that was not stays unread; its client retries it elsewhere."""
+    So the client could not know that the connection would close. A request that the conductor has read is
+    answered; any other stays unread, and its client retries it elsewhere."""
     started, proceed, handled = asyncio.Event(), asyncio.Event(), []
 
     async def stream_handler(request):
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""README's example runs as it stands."""
+"""Tests that the example in the README runs unchanged."""
 
 import re
 from pathlib import Path
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -50,14 +50,16 @@
         return self.effects
 
     def effects_of(self, kind):
-        return [each for each in self.effects if isinstance(each, kind)]
+        return [effect for effect in self.effects if isinstance(effect, kind)]
 
     def submit(self, id="q", cls="safe", after=timedelta(), **more):
         return self.apply(ev.RequestReceived(id, cls, 2000, 100, 4 * SECOND, session="s", **more), after)
 
     def deadline_timer(self):
         """Return the core's deadline timer of the last request; the decision module's timers are numbers."""
-        (set_timer,) = (each for each in self.effects_of(ev.SetTimer) if not isinstance(each.timer, int))
+        (set_timer,) = (
+            effect for effect in self.effects_of(ev.SetTimer) if not isinstance(effect.timer, int)
+        )
         return set_timer
 
     def finish_read(self, id="q", reservations=1):
@@ -101,7 +103,7 @@
 
 def test_log_names_of_events_and_effects_do_not_change():
     """The log line `violation` names the class in its field `of`, which operators' tools match."""
-    log_names = {each: each.log_name for each in (*get_args(ev.Event), *get_args(ev.Effect))}
+    log_names = {kind: kind.log_name for kind in (*get_args(ev.Event), *get_args(ev.Effect))}
     assert log_names == LOG_NAMES
 
 
@@ -120,10 +122,14 @@
 
 
 def test_reservation_with_unknown_result_is_released(harness):
-    """The endpoint doesn't know the read, so it has not arrived; a reservation may exist all the same."""
+    """The endpoint answers that the read is unknown to it, so the read has not arrived there.
+
+    A reservation may exist nevertheless."""
     harness.submit()
     (set_timer,) = harness.apply(ev.ReservationFinished("q", 0, None), MS)
-    assert set_timer.at == harness.now + 300 * MS, "the reservation may exist since 300 ms before the answer"
+    assert set_timer.at == harness.now + 300 * MS, (
+        "the reservation may have been made up to 300 ms before the answer"
+    )
     (release,) = harness.apply(ev.TimerFired(set_timer.timer), 300 * MS)
     assert type(release) is ev.Release and release.id == "q"
     harness.submit("o")
@@ -178,14 +184,14 @@
     harness.apply(ev.ReservationFinished("q", 0, True))
     harness.finish_read(reservations=0)
     (set_timer,) = [
-        each for each in harness.effects_of(ev.SetTimer) if isinstance(each.timer, ReadStateTimer)
+        effect for effect in harness.effects_of(ev.SetTimer) if isinstance(effect.timer, ReadStateTimer)
     ]
     harness.apply(ev.ResponseStarted("q", 1), MS)
     assert not harness.apply(ev.TimerFired(set_timer.timer), SECOND)
 
 
 @pytest.mark.parametrize("status", [Status.RESET, Status.ERROR])
-def test_state_of_an_interrupted_read_is_released_at_once_before_a_retry(harness, status):
+def test_state_of_an_interrupted_read_is_released_immediately_before_a_retry(harness, status):
     harness.submit()
     harness.apply(ev.ReservationFinished("q", 0, False))
     harness.apply(ev.AttemptEnded("q", 0, status), MS)
@@ -241,14 +247,16 @@
 
 def test_timer_of_an_earlier_request_with_the_same_id_is_ignored(harness):
     harness.submit()
-    timers = [each.timer for each in harness.effects_of(ev.SetTimer)]
+    timers = [effect.timer for effect in harness.effects_of(ev.SetTimer)]
     harness.apply(ev.ReservationFinished("q", 0, None))
     harness.apply(ev.ClientDisconnected("q"))
     harness.apply(ev.AttemptEnded("q", 0, Status.CANCELLED))
     harness.submit(after=SECOND)
     harness.now += 3 * SECOND
     for timer in timers:
-        assert not [each for each in harness.apply(ev.TimerFired(timer)) if not isinstance(each, ev.SetTimer)]
+        assert not [
+            effect for effect in harness.apply(ev.TimerFired(timer)) if not isinstance(effect, ev.SetTimer)
+        ]
     harness.apply(ev.ReservationFinished("q", 0, None))
     assert harness.finish_read(reservations=0).id == "q", "the decision module still knows the request"
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -28,12 +28,14 @@
 def test_release_tries_all_endpoints_in_rounds_and_alternates_zones():
     fleet = [endpoint(f"{zone}{n}", zone) for zone in "abc" for n in range(40)]
     candidates = list(islice(release.candidate_endpoints("q", fleet[:1], fleet, "b"), 600))
-    assert candidates[0] is fleet[0] and {each.name for each in candidates[1:121]} == {
-        each.name for each in fleet
+    assert candidates[0] is fleet[0] and {candidate.name for candidate in candidates[1:121]} == {
+        candidate.name for candidate in fleet
     }
     assert candidates[1].zone == "b", "our own zone first"
     for lost in "abc":  # the tolerance of 300 ms allows four calls
-        assert all(any(each.zone != lost for each in candidates[at : at + 2]) for at in range(1, 119))
+        assert all(
+            any(candidate.zone != lost for candidate in candidates[at : at + 2]) for at in range(1, 119)
+        )
     assert (
         len({next(islice(release.candidate_endpoints(f"q{n}", (), fleet, "b"), 1)).name for n in range(200)})
         > 30
@@ -112,8 +114,10 @@
 
 
 def drain(runtime, name):
-    listed = [each for each in runtime.state.fleet.values() if each.name == name]
-    entries = [entry(each.name, each.address, each.kind, "Terminating") for each in listed]
+    listed = [candidate for candidate in runtime.state.fleet.values() if candidate.name == name]
+    entries = [
+        entry(candidate.name, candidate.address, candidate.kind, "Terminating") for candidate in listed
+    ]
     runtime.feed(parse_endpoint_list({"index": 2, "snapshot": False, "endpoints": entries}))
 
 
@@ -197,7 +201,7 @@
 def test_attempt_is_not_sent_after_the_deadline():
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
-            (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "w1")
+            (endpoint,) = (candidate for candidate in runtime.state.fleet.values() if candidate.name == "w1")
             for time_left, allowed in ((timedelta(), False), (timedelta(seconds=60), True)):
                 assert (
                     runtime.make_gate(Forward("q", 1, endpoint, time_left, is_read=False)).is_permitted()
@@ -229,17 +233,17 @@
         listener.listen(0)
         listener.setblocking(False)
         fillers = [socket.socket() for _ in range(3)]
-        for each in fillers:
-            each.setblocking(False)
+        for filler in fillers:
+            filler.setblocking(False)
             with suppress(BlockingIOError):
-                each.connect(listener.getsockname())
+                filler.connect(listener.getsockname())
         yield listener, fillers
-        for each in fillers:
-            each.close()
+        for filler in fillers:
+            filler.close()
 
 
 def test_nothing_is_sent_on_a_connection_that_completes_after_the_drain(tmp_path):
-    """With the real program: the reader starts draining while a connect to it takes a second."""
+    """With a conductor process: the reader starts draining while a connect to it takes a second."""
     long_timeouts = {
         "allowed": {**SETTINGS["allowed"], "connect_timeout": 8 * 10**9},
         "lanes": [{**SETTINGS["lanes"][0], "target": 8 * 10**9, "hard_limit": 9 * 10**9}],
@@ -287,7 +291,7 @@
 
 
 def test_read_state_is_released_at_another_endpoint_if_the_reader_is_down(tmp_path):
-    """With the real program: the reader that holds the state is down; another endpoint takes the release."""
+    """The conductor process releases the state at another endpoint, as the reader that holds it is down."""
 
     async def read_and_stop(call, writer):
         if call[0].startswith("POST /v1/chat"):
@@ -307,7 +311,9 @@
             async with platform(tmp_path, entries) as program:
                 assert (await program.send_request(chat(left=900)))[0].split()[1] == "503"
                 assert await writer.wait_for("DELETE /v1/holds/r1")
-                await program.discovery.publish([{**each, "status": "Terminating"} for each in entries])
+                await program.discovery.publish(
+                    [{**listed_entry, "status": "Terminating"} for listed_entry in entries]
+                )
                 while not (logged := await program.line("endpoints"))["not_live"]:
                     pass
                 assert set(logged["last_sent"]) == {"r1", "w1"}, "time of the last send to each endpoint"
@@ -332,7 +338,7 @@
 def test_local_connect_failure_is_not_attributed_to_the_endpoint(code, expected_detail):
     async def test():
         async with late_connections(never_read, "reader") as (runtime, *_):
-            (endpoint,) = (each for each in runtime.state.fleet.values() if each.name == "r1")
+            (endpoint,) = (candidate for candidate in runtime.state.fleet.values() if candidate.name == "r1")
             key = SimpleNamespace(host="h", port=1, ssl=None, is_ssl=False)
 
             async def fail(*args, **options):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -14,7 +14,7 @@
 
 
 def chosen_writers(harness, count=30):
-    """Return the writers that receive so many requests, one after the other."""
+    """Submit `count` requests one after the other and return the writers that they are sent to."""
     writers = []
     for number in range(count):
         harness.submit(f"w{number}")
--- a/tests/test_runtime.py
+++ b/tests/test_runtime.py
@@ -1,4 +1,4 @@
-"""Tests of the runtime in this process, for situations that are too rare in the real program."""
+"""Tests of the runtime in this process, for situations that are too rare with a conductor process."""
 
 import asyncio
 import json
@@ -120,8 +120,8 @@
             open_sockets = [pool.open_socket(info) for _ in range(pool.max_sockets)]
             assert await pool.call("DELETE", reader.address, "/x", second) is None
             assert await pool.call("GET", discovery.address, "/x", second) == 204
-            for each in open_sockets:
-                each.close()
+            for occupied in open_sockets:
+                occupied.close()
             await pool.close()
 
     asyncio.run(within(test(), 60))
@@ -143,7 +143,8 @@
 
 
 def test_a_silent_attempt_closes_the_idle_connections_to_its_endpoint(monkeypatch):
-    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # idle connections are reused at once
+    # Idle connections are reused immediately.
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())
 
     async def hang(call, writer):
         if call[0].startswith("POST"):
@@ -177,7 +178,8 @@
 
 
 def test_stale_connections_are_reported_and_pause_keep_alive(monkeypatch):
-    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())  # idle connections are reused at once
+    # Idle connections are reused immediately.
+    monkeypatch.setattr(aiohttp_internals, "REUSE_DELAY", timedelta())
 
     broken = asyncio.Event()
 
@@ -208,7 +210,7 @@
             runtime.feed(RequestReceived("q", "lookup", 100, 20, timedelta(seconds=3), session="s"))
             await within(answered.wait())
             await within(runtime.wait_idle())
-            ends = [(each.status, each.detail) for each in ended if isinstance(each, AttemptEnded)]
+            ends = [(result.status, result.detail) for result in ended if isinstance(result, AttemptEnded)]
             assert ends[0] == (Status.RESET, SERVER_NOT_AT_FAULT) and (Status.RESET, 0) in ends, (
                 "the next attempts used new connections"
             )
@@ -252,7 +254,7 @@
     asyncio.run(within(test(), 60))
 
 
-def test_discovery_applies_lists_and_changes_and_starts_anew_after_an_index_decreases():
+def test_discovery_applies_lists_and_changes_and_requests_a_full_list_after_the_index_decreases():
     updates = []
     watch = Discovery(None, "", parse_endpoint_list, updates.append, Pacing(settings(), random.Random(1)))
     one, two = entry("a", "127.0.0.1:1", "prefill"), entry("b", "127.0.0.1:2", "decode", "Odd")
@@ -264,12 +266,12 @@
         "an endpoint of unknown status gets no new requests"
     )
     watch.process_response({"index": 3, "snapshot": False, "endpoints": [one]})
-    assert watch.index is None and len(updates) == 2, "changes of another list are not applied"
+    assert watch.index is None and len(updates) == 2, "changes with a lower index are not applied"
     watch.index = 7
     watch.process_response(
         {"index": 3, "snapshot": False, "endpoints": [one, {**two, "status": "Terminating"}]}
     )
-    assert watch.index is None and not updates[2].complete, "except for their drains"
+    assert watch.index is None and not updates[2].complete, "only their drains are applied"
     assert [(each.name, each.state.value) for each in updates[2].endpoints] == [("b", "draining")]
     for wrong in ({}, [], {"index": 1, "endpoints": {"name": "x"}}, json.loads("null")):
         try:
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -101,7 +101,9 @@
     retuned = replace(
         CORE_SETTINGS,
         max_attempts=2,
-        classes=tuple(replace(each, effect=api.Idempotency.SAFE) for each in CORE_SETTINGS.classes),
+        classes=tuple(
+            replace(request_class, effect=api.Idempotency.SAFE) for request_class in CORE_SETTINGS.classes
+        ),
     )
     harness.apply(ev.SettingsReloaded(retuned))
     assert harness.state.statistics.conf_loaded == 1
--- a/tests/test_settings_validation.py
+++ b/tests/test_settings_validation.py
@@ -51,7 +51,7 @@
             assert named.startswith("settings"), error
             if path[0] in ("lanes", "projects") and len(path) == 3:
                 expected = (f"{path[0]}.{path[1]}.", "lanes.lookup.", "lanes.booking.")
-                assert any(each in named for each in expected), error
+                assert any(name in named for name in expected), error
             continue
         Router(config.settings, 1)
         Pacing(config.settings, random.Random(1)).failed(timed_out=True)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""Shared state: budgets in a fleet model, counts, outlier detection, and synchronization on a fake etcd."""
+"""Tests of shared state: budgets in a fleet model, counts, outlier detection, and the etcd stand-in."""
 
 import asyncio
 import heapq
@@ -34,7 +34,7 @@
 
 
 class WritesReductionAtOnce(Quota):
-    """Faulty quota that writes a reduction at once instead of a window later."""
+    """Faulty quota that writes a reduction immediately instead of a window later."""
 
     def target_slice(self, now, members, granted_to_others):
         if self.reduced_at is not None:
@@ -52,7 +52,7 @@
 
 
 class FleetModel:
-    """Members that spend all they may. An outage partitions a member from etcd for some ms.
+    """Model of members that spend their whole quota. An outage partitions a member from etcd for some ms.
 
     A send goes out 10 ms after the decision. A stall suspends a member and its pending sends for some ms."""
 
@@ -220,7 +220,7 @@
     quota.on_lease_renewed(ms(0), ms(100_000))
     quota.on_slice_written(quota.target_slice(ms(0), 1, 0.0))
     assert quota.target_slice(ms(10), 2, 0.0) == quota.granted, "the reduction is written a window later"
-    assert quota.spendable == BUDGET.pool / 2, "but limits spending at once"
+    assert quota.spendable == BUDGET.pool / 2, "but it limits spending immediately"
     assert quota.target_slice(ms(510), 2, 0.0) == BUDGET.pool / 2
     quota.on_slice_written(BUDGET.pool / 2)
     assert quota.target_slice(ms(600), 1, 0.0) == BUDGET.pool, (
--- a/tests/test_shared_fleet.py
+++ b/tests/test_shared_fleet.py
@@ -72,13 +72,17 @@
     avoided = {line["who"] for line in result.events if line["event"] == "endpoint_avoided"}
     assert avoided == {"c0", "c1", "c2", "c3"}, "also conductors that observed no failure themselves"
     send_times = [timestamp - result.started_at for timestamp, _ in result.received_requests["r0"]]
-    during = sum(2.0 < timestamp < 3.5 for timestamp in send_times)
+    sends_while_failing = sum(2.0 < timestamp < 3.5 for timestamp in send_times)
     baseline = sum(0.2 < timestamp < 1.4 for timestamp in send_times) / 1.2 * 1.5
-    assert during < baseline / 3, "half a second later hardly any request is sent to it"
+    assert sends_while_failing < baseline / 3, (
+        "half a second after the first failure, few requests are sent to it"
+    )
     returned_at = min(timestamp for timestamp in send_times if timestamp > 3.5 + 0.3)
-    assert returned_at < 3.5 + EJECTION_MS / 1000 + TTL + 8, "requests return within the time limit"
-    welcome = [line for line in result.events if line["event"] == "endpoint_welcome"]
-    assert welcome
+    assert returned_at < 3.5 + EJECTION_MS / 1000 + TTL + 8, (
+        "requests return to the endpoint within the time limit"
+    )
+    readmissions = [line for line in result.events if line["event"] == "endpoint_welcome"]
+    assert readmissions
 
 
 def test_without_etcd_each_conductor_stays_within_its_floor_and_requests_continue():
