--- a/tests/test_kserve.py
+++ b/tests/test_kserve.py
@@ -1,4 +1,4 @@
-"""Tests that the v2 front has the outcomes of the HTTP/1.1 front, with stand-ins for v2 servers and clients."""
+"""Tests that the v2 front has the outcomes of the HTTP/1.1 front; v2 servers and clients are stand-ins."""
 
 import asyncio
 import json
