--- a/hoplane/__main__.py
+++ b/hoplane/__main__.py
@@ -1,4 +1,6 @@
-"""Starts one conductor: `python -m hoplane`, or with a configuration file for the v2 front."""
+"""Starts one conductor: `python -m hoplane [FILE]`.
+
+FILE is the configuration of the v2 front; without it the platform's configuration is read."""
 
 import sys
 
--- a/hoplane/adapter.py
+++ b/hoplane/adapter.py
@@ -18,7 +18,7 @@
 
 Fields = dict[str, str]
 
-EFFECTS = {
+IDEMPOTENCY_BY_WIRE_NAME = {
     "pure": api.Idempotency.SAFE,
     "token": api.Idempotency.KEYED,
     "side_effect": api.Idempotency.UNSAFE,
@@ -84,8 +84,8 @@
     return result
 
 
-def get_ticks(fields: Fields, name: str) -> int:
-    """Return a required time in nanoseconds; a decimal fraction is rounded."""
+def get_rounded_integer(fields: Fields, name: str) -> int:
+    """Return a required time in nanoseconds or count of tokens; a decimal fraction is rounded."""
     value = get_text(fields, name)
     return int(value) if value.isdecimal() else round(get_number(fields, name))
 
@@ -129,14 +129,14 @@
         "group",
         lambda fields, key: get_choice(fields, key, {group.value: group for group in api.Group}),
     ),
-    "window": ("window", get_ticks),
+    "window": ("window", get_rounded_integer),
 }
 TENANT_FIELDS = {"share": ("share", get_number), "quota_per_s": ("quota_per_s", get_number)}
 SETTING_FIELDS = {
     "routers": ("balancers", get_integer),
     "position": ("position", get_integer),
     "zone": ("my_zone", get_text),
-    "tick": ("tick", get_ticks),
+    "tick": ("tick", get_rounded_integer),
     "over_share_worth": ("over_share_worth", get_number),
     "max_attempts": ("allowed.attempts_cap", get_integer),
     "cancel": ("allowed.cancel", get_flag),
@@ -144,23 +144,23 @@
     "probes": ("allowed.probes", get_flag),
     "peers": ("allowed.may_tell", get_flag),
     "retry_after": ("allowed.retry_after", get_flag),
-    "max_retry_after": ("allowed.max_retry_after", get_ticks),
+    "max_retry_after": ("allowed.max_retry_after", get_rounded_integer),
     "reserve_ahead": ("family_info.ahead", get_flag),
     "resume": ("family_info.resume", get_flag),
     "writers_read": ("family_info.local_read", get_flag),
-    "release_within": ("family_info.release_within", get_ticks),
+    "release_within": ("family_info.release_within", get_rounded_integer),
     "far_price": ("family_info.transfer_price", get_number),
     "must_subscribe": (
         "discovery",
         lambda fields, key: get_choice(fields, key, {"ask": True, "push": False}),
     ),
     "probe_price": ("prices.probe", get_number),
-    "answer_slack": ("rules.answer_slack", get_ticks),
-    "drain_grace": ("rules.drain_grace", get_ticks),
-    "cold": ("rules.cold", get_ticks),
+    "answer_slack": ("rules.answer_slack", get_rounded_integer),
+    "drain_grace": ("rules.drain_grace", get_rounded_integer),
+    "cold": ("rules.cold", get_rounded_integer),
     "cold_share": ("rules.cold_share", get_number),
     "fall_multiple": ("rules.overload_factor", get_number),
-    "fall": ("rules.fall", get_ticks),
+    "fall": ("rules.fall", get_rounded_integer),
 }
 
 
@@ -183,15 +183,18 @@
     path = f"lanes.{index}."
     section = get_section(fields, path)
     key = "family_info.token_aim"
-    optional = convert_present(get_list_item(fields, key, index), {"token_aim": (key, get_ticks)})
+    optional = convert_present(get_list_item(fields, key, index), {"token_aim": (key, get_rounded_integer)})
     key = "family_info.aim_us_per_1000_prompt_tokens"
     if item := get_list_item(fields, key, index):
         optional["aim_per_1000"] = round(get_number(item, key) * 1000)
     with error_path(path):
         optional |= convert_present(section, CLASS_FIELDS)
-        times = get_ticks(section, "target"), get_ticks(section, "hard_limit")
+        times = get_rounded_integer(section, "target"), get_rounded_integer(section, "hard_limit")
         return api.ClassSettings(
-            get_text(section, "name"), *times, get_choice(section, "idempotency", EFFECTS), **optional
+            get_text(section, "name"),
+            *times,
+            get_choice(section, "idempotency", IDEMPOTENCY_BY_WIRE_NAME),
+            **optional,
         )
 
 
@@ -201,7 +204,9 @@
     role = get_choice(duty, "family_info.duty_by_kind", {role.value: role for role in api.Role})
     key = "family_info.memory_tokens"
     return api.KindSettings(
-        name, role, **convert_present(get_list_item(fields, key, index), {"memory": (key, get_ticks)})
+        name,
+        role,
+        **convert_present(get_list_item(fields, key, index), {"memory": (key, get_rounded_integer)}),
     )
 
 
@@ -255,7 +260,7 @@
     "session": ("thread", get_text),
     "prefix": ("prefix", get_text),
     "prefix_tokens": ("shared_len", get_integer),
-    "hint": ("estimate", get_ticks),
+    "hint": ("estimate", get_rounded_integer),
     "tenant": ("party", get_text),
     "retry": ("repeat", get_flag),
     "resumed": ("came_back", get_flag),
@@ -270,7 +275,9 @@
         zone=get_text(fields, "dc"),
         cell=get_integer(fields, "unit_group"),
         state=get_choice(fields, "condition", STATES),
-        **convert_present(fields, {"weight": ("weight", get_number), "started_at": ("born", get_ticks)}),
+        **convert_present(
+            fields, {"weight": ("weight", get_number), "started_at": ("born", get_rounded_integer)}
+        ),
     )
 
 
@@ -287,7 +294,7 @@
         get_text(fields, "priority"),
         get_integer(fields, "n_prompt"),
         get_integer(fields, "max_tokens"),
-        get_ticks(fields, "grace"),
+        get_rounded_integer(fields, "grace"),
         **convert_present(fields, REQUEST_FIELDS),
     )
 
@@ -299,7 +306,7 @@
 
 def read_first_token(fields: Fields) -> api.FirstToken:
     """Convert the start of an answer's stream."""
-    return api.FirstToken(*attempt_fields(fields), get_ticks(fields, "wait_time"))
+    return api.FirstToken(*attempt_fields(fields), get_rounded_integer(fields, "wait_time"))
 
 
 def read_outcome(fields: Fields) -> api.Outcome:
@@ -307,7 +314,11 @@
     status = get_choice(fields, "ending", STATUSES)
     optional = convert_present(fields, {"closed": ("closed", get_flag), "detail": ("info", get_integer)})
     return api.Outcome(
-        *attempt_fields(fields), status, get_ticks(fields, "wait_time"), load=read_load(fields), **optional
+        *attempt_fields(fields),
+        status,
+        get_rounded_integer(fields, "wait_time"),
+        load=read_load(fields),
+        **optional,
     )
 
 
@@ -322,7 +333,7 @@
     """Convert the result of a probe."""
     status = get_choice(fields, "ending", STATUSES)
     return api.ProbeResult(
-        get_integer(fields, "engine"), status, get_ticks(fields, "wait_time"), read_load(fields)
+        get_integer(fields, "engine"), status, get_rounded_integer(fields, "wait_time"), read_load(fields)
     )
 
 
@@ -383,7 +394,7 @@
 # --- the loop
 
 
-class Host:
+class RouterHost:
     """Passes batches of events to the routers and collects their actions."""
 
     def __init__(self) -> None:
@@ -406,7 +417,7 @@
             self.routers[instance] = Router(read_settings(fields), get_integer(fields, "random_seed"))
             return
         if instance not in self.routers:
-            raise WireError(f"{instance} has not been started")
+            raise WireError(f"router_id={instance} has not been started")
         if name == "destroy":
             del self.routers[instance]
             return
@@ -437,12 +448,12 @@
             parts = line.split()
             if not parts or parts[0] != "begin_batch":
                 raise WireError("a batch must start with begin_batch")
-            self.now = get_ticks(split_fields(parts[1:]), "clock")
+            self.now = get_rounded_integer(split_fields(parts[1:]), "clock")
             reply: list[str] = []
             for event in lines:
                 parts = event.split()
                 if not parts:
-                    raise WireError("an empty line")
+                    raise WireError("a line within a batch is empty")
                 if parts[0] == "eof_batch":
                     break
                 reply.extend(self.process(parts, lines))
@@ -473,7 +484,7 @@
     """Serve the wire protocol on standard input and output."""
     lines = LineCounter(sys.stdin)
     try:
-        Host().run(lines, sys.stdout)
+        RouterHost().run(lines, sys.stdout)
     except (WireError, ValueError) as error:
         print(f"adapter: line {lines.number}: {error}", file=sys.stderr)
         return 1
--- a/hoplane/conductor.py
+++ b/hoplane/conductor.py
@@ -38,40 +38,43 @@
 REREAD_DELAY, MAX_REREAD_DELAY = timedelta(milliseconds=50), timedelta(seconds=1)
 # Attempts at startup to read the configuration and to create the event loop, `REREAD_DELAY` apart.
 STARTUP_ATTEMPTS = 40
-GC_INTERVAL = timedelta(seconds=10)  # between garbage collections, which take 5 to 8 ms
+# Between garbage collections, each of which blocks the event loop for 5 to 8 ms.
+GC_INTERVAL = timedelta(seconds=10)
 
 
 class Conductor:
-    """A running conductor: its front, its watch, and what a reload changes."""
+    """A running conductor: its front, its endpoint watch, and what a reload changes."""
 
     def __init__(self, config: Config, load_config: Callable[[Config], Config]) -> None:
         self.config, self.load_config = config, load_config
         self.read_failures = 0  # consecutive failures to read the file
         self.reread_timer: asyncio.TimerHandle | None = None
         self.pool = Pool(config)
-        self.front, self.watch = self.create_kserve() if config.files else self.create_platform()
-        self.watch_task = asyncio.create_task(self.watch.watch())
+        self.front, self.endpoint_watch = self.create_kserve() if config.files else self.create_platform()
+        self.watch_task = asyncio.create_task(self.endpoint_watch.watch())
         server = self.front.server
         self.operator = config.operator and OperatorServer(
             config.operator, self.not_ready_reason, self.statistics, server.start_drain, server.cancel_drain
         )
-        shared = config.inherited is not None and config.scratch is not None
-        self.fleet_parts = self.make_fleet_parts()
-        self.handover = shared and Handover(config.scratch, lambda: server.open_requests, server.hand_over)
+        can_hand_over = config.inherited is not None and config.scratch is not None
+        self.fleet_tasks = self.make_fleet_tasks()
+        self.handover = can_hand_over and Handover(
+            config.scratch, lambda: server.open_requests, server.hand_over
+        )
 
-    # The imports are local, as the platform's conductor has no such parts and need not load them.
-    def make_fleet_parts(self) -> list:
+    # The imports are local, because the platform's conductor has no such tasks and need not load them.
+    def make_fleet_tasks(self) -> list:
         """Return the tasks that this process runs for the fleet, outside the request path."""
-        parts = []
+        tasks = []
         if self.config.lease:
             from hoplane.lease.health_check_task import HealthCheckTask
 
-            parts.append(HealthCheckTask(self.config, self.endpoints))
+            tasks.append(HealthCheckTask(self.config, self.endpoints))
         if self.config.shared:
             from hoplane.shared.member import Member
 
-            parts.append(Member(self.config, lambda: self.front.runtimes))
-        return parts
+            tasks.append(Member(self.config, lambda: self.front.runtimes))
+        return tasks
 
     def endpoints(self) -> list[tuple[str, str]]:
         """Return the names and addresses of the listed endpoints, without those that are gone."""
@@ -89,7 +92,7 @@
         )
 
     def statistics(self) -> dict[str, object]:
-        """Return the statistics of this process's conductors, summed if there are several."""
+        """Return the statistics of this process's runtimes, summed if there are several."""
         statistics: dict = {"transactions": {}, "current": 0, "cluster_size": 0, "cluster_unhealthy": 0}
         for runtime in self.front.runtimes:
             each = runtime.statistics()
@@ -120,7 +123,7 @@
 
     def create_kserve(self) -> tuple[kserve.KServe, xds.FileWatch]:
         """Create the v2 front and its files, which must be valid at startup."""
-        # Local imports, as the platform's conductor should not load them: loading is half of a startup.
+        # Local imports, because the platform's conductor should not load them: loading is half of a startup.
         from hoplane import xds
         from hoplane.fronts import kserve
 
@@ -131,13 +134,13 @@
         return front, watch
 
     def reload(self) -> None:
-        """Reload the configuration; README describes each key. An invalid one changes nothing.
+        """Reload the configuration; README describes each key. An invalid configuration is not applied.
 
-        The watch moves too, so that it does not stay with an address that discovery has left.
+        The watch is replaced too, because discovery may have a new address.
         """
         try:
             new = self.load_config(self.config)
-            watch = self.watch.reconfigure(new)
+            watch = self.endpoint_watch.reconfigure(new)
         except TransientReadError as error:
             self.reload_later(error)
             return
@@ -147,23 +150,23 @@
                 runtime.feed(SettingsReloaded(None))
             return
         self.read_failures = 0
-        self.watch, self.watch_task = watch, asyncio.create_task(watch.watch())
+        self.endpoint_watch, self.watch_task = watch, asyncio.create_task(watch.watch())
         self.front.server.resize(new.limits)
-        self.pool.max_sockets = new.limits.upstreams
+        self.pool.max_sockets = new.limits.endpoint_connections
         self.pool.set_discovery(new.discovery)
         self.front.apply_settings(new.settings)
-        known = (*configuration.RELOADABLE_FIELDS, *configuration.IGNORED_FIELDS)
+        never_need_restart = (*configuration.RELOADABLE_FIELDS, *configuration.NOT_COMPARED_FIELDS)
         needs_restart = [
             name
             for name in (field.name for field in fields(new))
-            if name not in known and getattr(self.config, name) != getattr(new, name)
+            if name not in never_need_restart and getattr(self.config, name) != getattr(new, name)
         ]
         reloaded = {name: getattr(new, name) for name in configuration.RELOADABLE_FIELDS}
         self.config = replace(self.config, raw=new.raw, **reloaded)
         log.write_event("reloaded", watch=str(watch), at_next_start=needs_restart)
 
     def reload_later(self, error: TransientReadError) -> None:
-        """Reload the configuration a moment later, as the SIGHUP still has to be handled."""
+        """Schedule another reload, because the file could not be read."""
         self.read_failures += 1
         log.write_event_limited("reload_unread", error=str(error), tries=self.read_failures)
         if self.reread_timer is not None:
@@ -181,7 +184,7 @@
         """Serve until a signal arrives, then finish the accepted requests."""
         stop = asyncio.Event()
         signals.on_shutdown_signal(stop.set)
-        await self.watch.wait_until_ready()
+        await self.endpoint_watch.wait_until_ready()
         if not stop.is_set():
             await self.run(stop)
         signals.ignore_reload()
@@ -206,19 +209,19 @@
         ]
         if self.handover:
             background_tasks.append(asyncio.create_task(self.handover.run()))
-        for part in self.fleet_parts:
-            part.start()
+        for fleet_task in self.fleet_tasks:
+            fleet_task.start()
         await stop.wait()
-        for part in self.fleet_parts:
-            await part.begin_shutdown()
+        for fleet_task in self.fleet_tasks:
+            await fleet_task.begin_shutdown()
         log.write_event("stopping", open=self.front.server.open_requests)
         await self.front.server.stop()
         if self.operator:
             self.operator.stop()
         for runtime in self.front.runtimes:
             await runtime.wait_idle()
-        for part in self.fleet_parts:
-            await part.stop()
+        for fleet_task in self.fleet_tasks:
+            await fleet_task.stop()
         for task in background_tasks:
             task.cancel()
 
@@ -260,12 +263,17 @@
     """Read the configuration and serve."""
     logging.basicConfig(level=logging.WARNING, handlers=[log.LibraryHandler()])
     parser = argparse.ArgumentParser(prog="hoplane", description="One conductor.")
-    parser.add_argument("file", nargs="?", type=Path, help="serve KServe v2 as this file says")
+    parser.add_argument(
+        "file",
+        nargs="?",
+        type=Path,
+        help="TOML configuration for serving KServe v2; if absent, the platform's configuration is used",
+    )
     file = parser.parse_args(arguments).file
     try:
         config = load_with_retry(file)
         with asyncio.Runner(loop_factory=create_event_loop) as runner:
-            runner.run(serve(config, lambda before: configuration.load(os.environ, file, before)))
+            runner.run(serve(config, lambda current: configuration.load(os.environ, file, current)))
     except ConfigError as error:
         log.write_event("bad_configuration", error=str(error))
         return 2
--- a/hoplane/config.py
+++ b/hoplane/config.py
@@ -16,7 +16,8 @@
 from hoplane.core.transient_errors import TRANSIENT_READ_FAILURES
 from hoplane.decision.interface import Settings
 
-# Imported on use: imports take half of the start-up time, and a platform's configuration needs none of these.
+# Imported on use, because imports take half of the start-up time and a platform's configuration needs none of
+# these.
 if TYPE_CHECKING:
     from hoplane.lease.state_machine import LeaseTerms
     from hoplane.shared.budget import Budget
@@ -25,7 +26,7 @@
 MEGABYTE = 1 << 20
 MAX_NUMBER = 10**18  # for any setting; 30 years in nanoseconds
 MAX_BODY_BYTES = 256 * 1024  # limit of the platform's protocol
-BASE_MEMORY = 52 * MEGABYTE  # of a process without open requests, which uses 48 MiB
+BASE_MEMORY = 52 * MEGABYTE  # memory allowance for a process without open requests, which uses 48 MiB
 
 LEASE_KEYS = (
     "engine",
@@ -76,27 +77,29 @@
     sockets: int
 
     @property
-    def spare(self) -> int:
+    def spare_descriptors(self) -> int:
         """Descriptors for everything else: discovery, the log and rejected client connections."""
         return min(64, self.sockets // 4)
 
     @property
-    def clients(self) -> int:
-        """Client connections: at most a third of the descriptors, as a request may need two to endpoints."""
+    def client_connections(self) -> int:
+        """Client connections: at most a third of the descriptors.
+
+        The share is small because a request may need two connections to endpoints."""
         return self.sockets // 3
 
     @property
     def rejected_connections(self) -> int:
         """Client connections over the limit that are answered with a refusal at the same time."""
-        return self.spare // 2
+        return self.spare_descriptors // 2
 
     @property
-    def upstreams(self) -> int:
+    def endpoint_connections(self) -> int:
         """Connections to endpoints, including idle ones."""
-        return self.sockets - self.clients - self.spare
+        return self.sockets - self.client_connections - self.spare_descriptors
 
     @property
-    def bodies(self) -> int:
+    def body_bytes(self) -> int:
         """Bytes of request bodies in memory; each body counts twice, for the copy being sent."""
         return max(8 * MAX_BODY_BYTES, min(self.memory // 8, (self.memory - BASE_MEMORY) // 4))
 
@@ -137,12 +140,12 @@
     limits: Limits
     discovery: tuple[str, int] | None = None
     operator: tuple[str, int] | None = None  # where the operator interface listens
-    known: dict = field(default_factory=dict)
+    known: dict = field(default_factory=dict)  # endpoints to use until discovery responds
     connect_timeout: timedelta = timedelta(milliseconds=250)
     conn_idle: timedelta = timedelta(seconds=15)
     max_open: int = 20_000
-    ledger_most: int = 50_000  # request ids that must not run twice, and how long they are stored
-    ledger_keep: timedelta = timedelta(minutes=10)
+    ledger_most: int = 50_000  # maximum number of stored ids of requests that must not run twice
+    ledger_keep: timedelta = timedelta(minutes=10)  # how long an id is stored
     lease: Lease | None = None
     shared: Shared | None = None
     files: tuple[Path, ...] = ()  # clusters and endpoints in xDS format, for the KServe v2 front
@@ -152,7 +155,8 @@
 
 
 RELOADABLE_FIELDS = ("discovery", "files", "limits", "settings")  # others take effect at the next start
-IGNORED_FIELDS = ("seed", "known", "inherited", "scratch", "raw")  # new at each start, unused by a reload
+# Fields that a reload does not compare: they may differ at each start, and a reload does not use them.
+NOT_COMPARED_FIELDS = ("seed", "known", "inherited", "scratch", "raw")
 
 
 def load(environ: Mapping[str, str], file: Path | None = None, current: Config | None = None) -> Config:
@@ -181,7 +185,8 @@
         ("operator", "EDGE_OPERATOR"),
     )
     for key, name in names:
-        # The environment is as old as the process and must not override the new address on a reload.
+        # The environment does not change after the start, so it must not override the file's address on a
+        # reload.
         if environ.get(name) and not (is_reload and key in RELOADABLE_FIELDS):
             raw[key] = environ[name]
     scratch = Path(environ["TMPDIR"]) if environ.get("TMPDIR") else None
@@ -305,7 +310,9 @@
         get_integer(raw, "ttl_s", 5, 1, "shared."),
     )
     if "most" not in raw:
-        raise ConfigError("shared.most: is missing: the maximum number of conductors running at once")
+        raise ConfigError(
+            "shared.most: is missing; set it to the maximum number of conductors that run at once"
+        )
     try:
         cold_budget = Budget(
             get_number(raw, "cold_sends", 10.0, "shared."),
@@ -316,14 +323,17 @@
         outlier_rule = OutlierRule(
             get_integer(raw, "failures", 3, 1, "shared."), get_milliseconds(raw, "keep_ms", 4000, "shared.")
         )
-        # A quota slice expires one window before the lease: the window stands in for a task's action timeout.
+        # The window is used as `action_timeout`, because a quota slice expires one window before the lease.
         terms = LeaseTerms(timedelta(seconds=ttl), window, get_number(raw, "drift", 0.01, "shared."))
     except ValueError as error:
         key, _, message = str(error).partition(":")
         setting_keys = {"act_ms": "window_ms", "bound": "cold_sends", "need": "failures"}
         raise ConfigError(f"shared.{setting_keys.get(key, key)}:{message}") from None
     if 2 * (interval + 3 * call_timeout) > terms.safe_lifetime - window:
-        raise ConfigError("shared.ttl_s: too short, must fit two rounds (every_ms, 3 calls) and window_ms")
+        raise ConfigError(
+            "shared.ttl_s: too short; it must cover window_ms "
+            "and two rounds of every_ms plus 3 * call_ms each"
+        )
     return Shared(
         etcd_members,
         terms,
@@ -394,7 +404,7 @@
     if not isinstance(new, dict):
         raise ConfigError(f"{where.rstrip('.')}: must be an object")
     for key, value in old.items():
-        if where == "" and key in IGNORED_FIELDS:
+        if where == "" and key in NOT_COMPARED_FIELDS:
             continue
         if key not in new:
             raise ConfigError(f"{where}{key}: is missing")
@@ -475,8 +485,8 @@
 
 
 def parse_seed(value: object) -> int:
-    """Parse the seed, a number or a hexadecimal string."""
+    """Parse the seed, an integer or a hexadecimal string."""
     try:
         return value if isinstance(value, int) else int(str(value), 16)
     except ValueError:
-        raise ConfigError("seed: must be a hexadecimal number") from None
+        raise ConfigError("seed: must be an integer or a hexadecimal string") from None
--- a/hoplane/fronts/kserve.py
+++ b/hoplane/fronts/kserve.py
@@ -1,4 +1,4 @@
-"""Front for the KServe v2 inference protocol over REST, towards clients and endpoints alike."""
+"""Front for the KServe v2 inference protocol over REST, for both clients and endpoints."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 
 def classify_response(status: int, headers: Mapping[str, str]) -> HeadOutcome:
-    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    """Return the outcome that a response's head implies. After `Status.ERROR` the request may have run."""
     if headers.get(UNPROCESSED_HEADER) == "1":
         return HeadOutcome(Status.FULL)
     if status == 200 or (status in REQUEST_ERROR_STATUSES and status not in TRANSIENT_STATUSES):
@@ -134,7 +134,9 @@
         self.status, self.headers, self.data = 200, {}, b""
 
     def is_complete(self, data: bytes) -> bool:
-        """Return whether a response is complete; one that ends with its connection's close has no length."""
+        """Return whether the JSON part of a response is complete.
+
+        A response without a length ends when its connection closes, so it may be truncated."""
         try:
             parse_json_part(self.headers, data)
         except ValueError:
@@ -195,7 +197,7 @@
 
 
 class KServe:
-    """Front for v2 clients. Each model has its own conductor and is the cluster of the same name."""
+    """Front for v2 clients. Each model is the cluster of the same name and has its own runtime."""
 
     def __init__(self, config: Config, pool: Pool) -> None:
         self.config, self.pool = config, pool
--- a/hoplane/fronts/operator.py
+++ b/hoplane/fronts/operator.py
@@ -1,6 +1,6 @@
 """Operator interface: a line protocol over TCP with one call per connection.
 
-Each call is answered with a line that starts with `+OK` or `-ERR`.
+Each call except `DUMP` is answered with one line that starts with `+OK` or `-ERR`.
 
 | call | answer |
 | --- | --- |
--- a/hoplane/fronts/platform.py
+++ b/hoplane/fronts/platform.py
@@ -155,7 +155,7 @@
 
 
 def classify_response(status: int, headers: Mapping[str, str], body: bytes) -> HeadOutcome:
-    """Return the outcome that a response's head implies. Unless it is certain, the request may have run."""
+    """Return the outcome that a response's head implies. After `Status.ERROR` the request may have run."""
     load = parse_load_report(headers.get(LOAD_HEADER, ""))
     unprocessed = headers.get(UNPROCESSED_HEADER) == "1"
     if status == 200:
@@ -231,7 +231,7 @@
         self.config, self.runtime = config, runtime
         self.set_known_names(config.settings)
         self.server, self.runtimes = Server(config, self.handle, error_response), [runtime]
-        self.server.interrupt_requests = self.break_off
+        self.server.interrupt_requests = self.interrupt_newest_requests
         self.server.http_server.report_violation = runtime.report_violation
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -254,8 +254,8 @@
         finally:
             self.server.bodies.release(body_size)
 
-    def break_off(self, fraction: float) -> None:
-        """Interrupt a fraction of the open requests, newest first, as those would run longest."""
+    def interrupt_newest_requests(self, fraction: float) -> None:
+        """Interrupt a fraction of the open requests, the newest first, because they would run longest."""
         ids = list(self.runtime.exchanges)
         for id in ids[len(ids) - ceil(fraction * len(ids)) :]:
             self.runtime.feed(RequestInterrupted(id))
--- a/hoplane/lab/shared_benchmark.py
+++ b/hoplane/lab/shared_benchmark.py
@@ -125,12 +125,12 @@
                         send_times.append(time.monotonic() - started_at)
                 await asyncio.sleep(0.005)
             for member in third if new_address else ():
-                member.engine.addresses = [new_address]
+                member.etcd.addresses = [new_address]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         for member in members:
-            await member.engine.close()
+            await member.etcd.close()
     return FleetRun(conductors, "emulated, each spends its whole quota", send_times, {})
 
 
--- a/hoplane/lease/elector.py
+++ b/hoplane/lease/elector.py
@@ -41,12 +41,14 @@
 
 
 class LeaderElector:
-    """One process's candidacy for one lease: `run` holds it, `guard_action` guards each action under it."""
+    """Campaigns for one lease on behalf of one process.
+
+    `run` acquires and renews the lease, and `guard_action` protects each action under it."""
 
     def __init__(
-        self, key: str, name: str, terms: LeaseTerms, engine: EtcdClient, now: Clock, seed: int
+        self, key: str, name: str, terms: LeaseTerms, etcd: EtcdClient, now: Clock, seed: int
     ) -> None:
-        self.key, self.name, self.terms, self.engine, self.now = key.encode(), name, terms, engine, now
+        self.key, self.name, self.terms, self.etcd, self.now = key.encode(), name, terms, etcd, now
         self.machine = LeaseStateMachine(terms, seed)
         self.events: asyncio.Queue[Event] = asyncio.Queue()
         self.tasks: set[asyncio.Task] = set()
@@ -90,7 +92,7 @@
         """Guard one action: yields the fencing token, or None if no action may start now.
 
         The action has to end within `terms.action_timeout`. The lease is not revoked while it runs."""
-        token = self.machine.may_act(self.now())
+        token = self.machine.token_for_action(self.now())
         if token is None:
             yield None
             return
@@ -136,8 +138,8 @@
         """Request a lease, try to create the key under it, and queue the outcome as an event."""
         lease_id = 0
         try:
-            lease_id = await self.engine.grant(round(self.terms.ttl.total_seconds()))
-            is_ours, revision, holder = await self.engine.acquire_key(self.key, self.name.encode(), lease_id)
+            lease_id = await self.etcd.grant(round(self.terms.ttl.total_seconds()))
+            is_ours, revision, holder = await self.etcd.acquire_key(self.key, self.name.encode(), lease_id)
         except (EtcdUnavailable, LeaseNotFound) as error:
             self.log.info("lease_unasked", error=repr(error))
             self.events.put_nowait(CallFailed(sent_at, lease_id))
@@ -149,7 +151,7 @@
 
     async def renew(self, sent_at: timedelta, lease_id: int) -> None:
         try:
-            await self.engine.keepalive(lease_id)
+            await self.etcd.keepalive(lease_id)
         except LeaseNotFound:
             self.events.put_nowait(LeaseExpired(sent_at, lease_id))
         except EtcdUnavailable as error:
@@ -161,15 +163,19 @@
             self.events.put_nowait(Renewed(sent_at, lease_id))
 
     async def revoke(self, lease_id: int) -> None:
-        """Revoke a lease once no action is running. Failures are ignored, as the lease expires anyway."""
+        """Revoke a lease once no action is running.
+
+        Failures are ignored, because the lease expires anyway."""
         await self.no_action_running.wait()
         with suppress(EtcdUnavailable, LeaseNotFound):
-            await self.engine.revoke(lease_id)
+            await self.etcd.revoke(lease_id)
 
     async def await_deletion(self, revision: int) -> None:
-        """Report the deletion of the key. If the watch fails, the next campaign is only delayed."""
+        """Queue an event when the key is deleted or etcd cancels the watch.
+
+        After a failed watch there is no event; the next campaign starts one TTL after the last one lost."""
         try:
-            await self.engine.wait_deleted(self.key, revision)
+            await self.etcd.wait_deleted(self.key, revision)
         except EtcdUnavailable:
             return
         self.events.put_nowait(KeyDeleted())
--- a/hoplane/lease/etcd.py
+++ b/hoplane/lease/etcd.py
@@ -1,7 +1,7 @@
 """Client of etcd's v3 JSON gateway: leases, transactions, and a watch on one key.
 
-Every call raises `EtcdUnavailable` if no usable reply arrived in time. The request may have been executed all
-the same."""
+Every call raises `EtcdUnavailable` if no usable reply arrived in time. The request may nevertheless have
+been executed."""
 
 from __future__ import annotations
 
@@ -39,11 +39,13 @@
 
 
 class EtcdClient:
-    """Client of an etcd cluster. After a failed call it moves on to the next address."""
+    """Client of an etcd cluster.
+
+    After a failed call, but not after a failed watch, it uses the next address."""
 
     def __init__(self, addresses: list[str], timeout: timedelta) -> None:
         self.addresses, self.timeout, self.address_index = addresses, timeout.total_seconds(), 0
-        # No keep-alive: reusing a connection that a partition broke silently would time out a call.
+        # Connections are not reused: a call on one that a partition has silently broken would time out.
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(force_close=True))
 
     async def close(self) -> None:
@@ -164,7 +166,9 @@
         return reply.get("succeeded") is True
 
     async def wait_deleted(self, key: bytes, revision: int) -> None:
-        """Wait for the key's deletion at this revision or later. Raises EtcdUnavailable if the watch ends."""
+        """Wait until the key is deleted at this revision or later, or until etcd cancels the watch.
+
+        Raises EtcdUnavailable if the connection fails or ends."""
         body = {"create_request": {"key": encode_base64(key), "start_revision": str(revision)}}
         client_timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.timeout)
         try:
@@ -173,7 +177,9 @@
                     events = result.get("events") or []
                     if any(each.get("type") == "DELETE" for each in events):
                         return
-                    if result.get("canceled"):  # start revision compacted: the caller must read the key
+                    # Canceled, for example, after the start revision was compacted: a deletion may have been
+                    # missed, so the caller campaigns again.
+                    if result.get("canceled"):
                         return
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError, AttributeError) as error:
             raise EtcdUnavailable(f"watch: {type(error).__name__} {error}") from None
--- a/hoplane/lease/health_check_task.py
+++ b/hoplane/lease/health_check_task.py
@@ -20,10 +20,10 @@
 
     def __init__(self, config: Config, list_endpoints: Callable[[], list[tuple[str, str]]]) -> None:
         settings = config.lease
-        self.engine = EtcdClient(list(settings.etcd_members), settings.call_timeout)
+        self.etcd = EtcdClient(list(settings.etcd_members), settings.call_timeout)
         seed = int.from_bytes(os.urandom(8))  # conductors must not back off in lockstep
         self.elector = LeaderElector(
-            settings.key, config.name, settings.terms, self.engine, monotonic_clock(settings.clock_rate), seed
+            settings.key, config.name, settings.terms, self.etcd, monotonic_clock(settings.clock_rate), seed
         )
         self.checker = HealthChecker(self.elector, settings.interval, LIVENESS_PATH, list_endpoints)
         self.tasks: list[asyncio.Task] = []
@@ -36,7 +36,7 @@
         self.tasks[1].cancel()
         await self.elector.stop()
         self.tasks[0].cancel()
-        await self.engine.close()
+        await self.etcd.close()
 
     async def stop(self) -> None:
         """Do nothing: `begin_shutdown` has already stopped all work."""
--- a/hoplane/lease/health_checker.py
+++ b/hoplane/lease/health_checker.py
@@ -1,6 +1,6 @@
 """Health checks of all listed endpoints, run by the lease holder for the whole fleet.
 
-Without them each conductor of a fleet probes the endpoints that do not respond to it on its own. Each request
+Without these checks, each conductor separately probes the endpoints that do not respond to it. Each request
 carries the fencing token in `X-Fencing-Token`. An endpoint that has seen a higher token responds with 412,
 and the checker ends the round."""
 
--- a/hoplane/lease/state_machine.py
+++ b/hoplane/lease/state_machine.py
@@ -24,7 +24,7 @@
     `min_backoff`, `max_backoff`: bounds of the backoff after failures.
     `epoch`: incremented by the operators after etcd lost its data, so that fencing tokens keep increasing.
 
-    Raises ValueError with a message that starts with the key."""
+    Raises ValueError if a value is invalid; the message starts with the setting's key."""
 
     ttl: timedelta
     action_timeout: timedelta
@@ -40,7 +40,9 @@
         if self.action_timeout <= timedelta():
             raise ValueError("act_ms: must be above 0")
         if self.safe_lifetime - self.action_timeout < 2 * self.renew_interval:
-            raise ValueError("act_ms: too long, two renewals must fit into ttl_s before an act outlasts it")
+            raise ValueError(
+                "act_ms: too long; ttl_s must leave time for two renewal intervals and one action"
+            )
         if not timedelta() < self.min_backoff <= self.max_backoff:
             raise ValueError("least_ms: must be above 0 and at most most_ms")
         if not 0 < self.epoch < 1 << 18:
@@ -187,10 +189,10 @@
 class LeaseStateMachine:
     """One conductor's candidacy for one lease.
 
-    At any moment `may_act` permits at most one conductor of the fleet to act, as long as clocks stay within
-    `drift`, etcd keeps its data and the process keeps running. A process that is suspended between the check
-    and the action, or whose action is delayed in the network, is not covered by this: the receiver of the
-    action has to reject stale fencing tokens."""
+    At any moment `token_for_action` permits at most one conductor of the fleet to act, as long as clocks stay
+    within `drift`, etcd keeps its data and the process keeps running. A process that is suspended between the
+    check and the action, or whose action is delayed in the network, is not covered by this: the receiver of
+    the action has to reject stale fencing tokens."""
 
     def __init__(self, terms: LeaseTerms, seed: int) -> None:
         self.terms, self.rng = terms, random.Random(seed)
@@ -203,10 +205,10 @@
 
     @property
     def token(self) -> int:
-        """Return the fencing token. It increases with each holder, as etcd's revisions do."""
+        """Return the fencing token. It increases with each tenure, because etcd's revisions increase."""
         return self.terms.epoch << REVISION_BITS | self.revision
 
-    def may_act(self, now: timedelta) -> int | None:
+    def token_for_action(self, now: timedelta) -> int | None:
         """Return the token if an action that starts now ends before the lease can expire, else None."""
         in_time = self.phase is Phase.HOLDING and now + self.terms.action_timeout <= self.valid_until
         return self.token if in_time else None
@@ -249,7 +251,7 @@
     def handle_campaign(self, now: timedelta, event: Acquired | HeldByOther | CallFailed) -> list[Effect]:
         """Process the outcome of the pending campaign."""
         if isinstance(event, CallFailed):
-            # The key may have been created all the same; revoking the lease deletes it in that case.
+            # The key may nevertheless have been created; in that case, revoking the lease deletes it.
             self.back_off(now)
             return [Revoke(event.lease_id)] if event.lease_id else []
         if isinstance(event, HeldByOther):
@@ -269,7 +271,7 @@
         return [TenureStarted(self.token)]
 
     def apply_deadlines(self, now: timedelta) -> list[Effect]:
-        """Return the effects that are due by now."""
+        """Apply the deadlines that have passed: change the phase and return the resulting effects."""
         if self.phase is Phase.HOLDING and now + self.terms.action_timeout > self.valid_until:
             effects = self.end_tenure("not renewed in time")
             self.back_off(now)
@@ -300,7 +302,7 @@
         self.phase, self.next_at = Phase.BACKING_OFF, now + self.next_backoff()
 
     def next_backoff(self) -> timedelta:
-        """Return an exponential backoff with jitter, drawn from the upper half of the interval.
+        """Count a failure and return an exponential backoff with jitter, from the upper half of the interval.
 
         The jitter keeps a fleet from reconnecting to a recovered etcd all at once."""
         self.failures += 1
--- a/hoplane/log.py
+++ b/hoplane/log.py
@@ -16,10 +16,11 @@
 
 
 class Output:
-    """Writes whole lines to standard error without raising and without blocking on a slow reader.
+    """Writes whole lines to standard error without raising, and without blocking when it is a full pipe.
 
-    Lines that cannot be written are dropped and counted; the next line that can be written reports the count.
-    A partly written line is completed before the next one starts."""
+    Lines that cannot be written are dropped and counted; the next call of `write_event` reports the count and
+    resets it. A partly written line is completed before the next one starts, unless more than
+    MAX_PENDING_BYTES of it remain: then the rest is dropped."""
 
     def __init__(self, descriptor: int = STDERR_FILENO) -> None:
         self.descriptor = descriptor
@@ -52,8 +53,8 @@
         poll.register(self.descriptor, select.POLLOUT)
         return any(mask & select.POLLOUT for _, mask in poll.poll(0))
 
-    def take_dropped(self) -> int:
-        """Return the number of dropped lines and reset it."""
+    def reset_dropped_count(self) -> int:
+        """Set the count of dropped lines to 0 and return its last value."""
         dropped, self.dropped = self.dropped, 0
         return dropped
 
@@ -65,7 +66,7 @@
     """Write one log line. Never raises. docs/on-call.md describes the events."""
     line = {"at": datetime.now(UTC), "event": event, **fields}
     if output.dropped:
-        line["lines_dropped"] = output.take_dropped()
+        line["lines_dropped"] = output.reset_dropped_count()
     try:
         data = orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS)
     except (TypeError, ValueError) as error:
--- a/hoplane/net/pool.py
+++ b/hoplane/net/pool.py
@@ -83,7 +83,7 @@
     """A client session that never queues for a connection, never resends, and limits its sockets."""
 
     def __init__(self, config: Config) -> None:
-        self.max_sockets, self.sockets = config.limits.upstreams, WeakSet()
+        self.max_sockets, self.sockets = config.limits.endpoint_connections, WeakSet()
         self.counters = Counters()
         # aiohttp's default limit of 100 would queue attempts without notice; the pool counts sockets itself.
         self.connector = Connector(
--- a/hoplane/net/runtime.py
+++ b/hoplane/net/runtime.py
@@ -88,7 +88,7 @@
             parse_load_report,
         )
         self.loop = asyncio.get_running_loop()
-        self.response_memory = MemoryBudget(config.limits.bodies)
+        self.response_memory = MemoryBudget(config.limits.body_bytes)
         self.relay = Relay(self.response_memory, self.feed)
         self.exchanges: dict[str, Exchange] = {}
         self.attempts: dict[tuple[str, int], asyncio.Task] = {}
--- a/hoplane/net/server.py
+++ b/hoplane/net/server.py
@@ -163,7 +163,7 @@
 
     def __init__(self, config: Config, handler: Handler, error_response: Callable[..., web.Response]) -> None:
         self.config, self.handler, self.error_response = config, handler, error_response
-        self.bodies = MemoryBudget(config.limits.bodies)
+        self.bodies = MemoryBudget(config.limits.body_bytes)
         self.stopping = False
         # Called to interrupt this fraction of the open requests; set by the front.
         self.interrupt_requests: Callable[[float], None] = lambda fraction: None
@@ -173,7 +173,7 @@
         self.http_server = HttpServer(
             self.handle,
             error_response,
-            config.limits.clients,
+            config.limits.client_connections,
             config.limits.rejected_connections,
             MAX_BODY_BYTES,
         )
@@ -184,8 +184,8 @@
 
     def resize(self, limits: Limits) -> None:
         """Apply new limits; what exceeds them ends by itself."""
-        self.http_server.max_connections = limits.clients
-        self.bodies.resize(limits.bodies)
+        self.http_server.max_connections = limits.client_connections
+        self.bodies.resize(limits.body_bytes)
 
     async def start(self) -> None:
         """Listen for clients, also on a socket inherited from the process supervisor."""
--- a/hoplane/shared/budget.py
+++ b/hoplane/shared/budget.py
@@ -51,9 +51,9 @@
 class Quota:
     """One conductor's quota of one budget.
 
-    `granted` is the slice recorded in etcd for this conductor. `spendable` is the slice it spends by, which
-    is smaller than `granted` for one window after a reduction. The slice is void from `valid_until` on, a
-    time of this conductor's own clock."""
+    `granted` is the slice recorded in etcd for this conductor. `spendable` is the part of it that the
+    conductor may spend; it is smaller than `granted` for one window after a reduction. From `valid_until` on,
+    by this conductor's own clock, the slice must not be spent."""
 
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
@@ -91,8 +91,8 @@
     def spend_reserved(self, now: timedelta) -> bool:
         """Convert a reservation into a spend as the request is written. Returns False if it no longer fits.
 
-        If the process is suspended or late between the decision and the write, its slice may belong to
-        another conductor by then, and the window of the reservation is over."""
+        If the process was suspended between the decision and the write, the reservation may have expired and
+        another conductor may hold the slice."""
         self.spent(now)
         if self.reservations:
             self.reservations.popleft()
@@ -101,7 +101,7 @@
         return fits
 
     def on_lease_renewed(self, sent_at: timedelta, safe_lifetime: timedelta) -> None:
-        """Extend the validity of the slice, as a lease call sent at `sent_at` succeeded."""
+        """Extend the validity of the slice, because a lease call sent at `sent_at` succeeded."""
         self.valid_until = max(self.valid_until, sent_at + safe_lifetime - self.budget.window)
 
     def on_lease_lost(self) -> None:
@@ -119,8 +119,8 @@
         # nothing.
         fair_share = max(self.budget.pool / max(1, members), min(min_useful_slice, self.budget.pool))
         if self.granted > fair_share + 1e-9:
-            # A second reduction within the window of the first restarts the window: until now spending went
-            # by the larger slice.
+            # A further reduction within the window of the first restarts the window, because the larger slice
+            # could be spent until now.
             if self.reduced_at is None or fair_share < self.spendable - 1e-9:
                 self.reduced_at, self.spendable = now, min(fair_share, self.spendable)
             return self.spendable if now >= self.reduced_at + self.budget.window else self.granted
--- a/hoplane/shared/fleet_sync.py
+++ b/hoplane/shared/fleet_sync.py
@@ -34,18 +34,18 @@
     def __init__(
         self,
         process: str,
-        engine: EtcdClient,
+        etcd: EtcdClient,
         terms: LeaseTerms,
         rule: OutlierRule,
         interval: timedelta,
         now: Clock,
         seed: int,
     ) -> None:
-        self.process, self.engine, self.terms = process, engine, terms
+        self.process, self.etcd, self.terms = process, etcd, terms
         self.interval, self.now = interval, now
         self.rng = random.Random(seed)
         self.quotas: dict[str, Quota] = {}
-        self.outliers, self.counter = OutlierDetector(rule), GrowOnlyCounter(process)
+        self.outlier_detector, self.counter = OutlierDetector(rule), GrowOnlyCounter(process)
         self.lease = 0
         self.members = 1
         self.live_key = PREFIX + b"live/" + process.encode()
@@ -87,28 +87,29 @@
         A write may have been committed even if the call failed; this is safe. The transaction that increases
         a slice requires an unchanged guard key, and the increase is spent only once its success is known."""
         await self.renew()
-        pairs = await self.engine.read_prefix(PREFIX)
+        pairs = await self.etcd.read_prefix(PREFIX)
         others = self.merge(pairs)
-        now, raised = self.now(), False
+        now, increases_a_slice = self.now(), False
         amounts = {}
         for name, quota in self.quotas.items():
             amounts[name] = quota.target_slice(now, self.members, sum(each.get(name, 0.0) for each in others))
-            raised = raised or amounts[name] > quota.granted + 1e-9
+            increases_a_slice = increases_a_slice or amounts[name] > quota.granted + 1e-9
         expected_revisions = {
             self.live_key: pairs[self.live_key].mod_revision if self.live_key in pairs else 0
         }
         ages = {
-            name: [each / MILLISECOND for each in times] for name, times in self.outliers.report(now).items()
+            name: [each / MILLISECOND for each in times]
+            for name, times in self.outlier_detector.report(now).items()
         }
         puts = [
             (self.live_key, orjson.dumps({"slices": amounts, "failed": ages}), self.lease),
-            (self.counts_key, orjson.dumps(self.counter.mine), 0),
+            (self.counts_key, orjson.dumps(self.counter.own_counts), 0),
         ]
-        if raised:
+        if increases_a_slice:
             expected_revisions[GUARD] = pairs[GUARD].mod_revision if GUARD in pairs else 0
             puts.append((GUARD, self.process.encode(), 0))
         try:
-            written = await self.engine.commit(expected_revisions, puts)
+            written = await self.etcd.commit(expected_revisions, puts)
         except LeaseNotFound:
             self.discard_lease()
             return
@@ -124,12 +125,12 @@
         sent_at = self.now()
         if self.lease:
             try:
-                await self.engine.keepalive(self.lease)
+                await self.etcd.keepalive(self.lease)
             except LeaseNotFound:
                 self.discard_lease()
         if not self.lease:
             sent_at = self.now()
-            self.lease = await self.engine.grant(round(self.terms.ttl.total_seconds()))
+            self.lease = await self.etcd.grant(round(self.terms.ttl.total_seconds()))
         for quota in self.quotas.values():
             quota.on_lease_renewed(sent_at, self.terms.safe_lifetime)
 
@@ -141,7 +142,10 @@
             quota.on_lease_lost()
 
     def merge(self, pairs: dict[bytes, KeyValue]) -> list[dict[str, float]]:
-        """Merge what the other processes wrote and return their slices. Malformed values are ignored."""
+        """Merge what the other processes wrote and return their slices.
+
+        Malformed slices, failure reports and counts are skipped; a process counts as live if its value is
+        valid JSON."""
         now, live, slices = self.now(), [], []
         self.first_seen = {key: each for key, each in self.first_seen.items() if key in pairs}
         for key, pair in pairs.items():
@@ -159,20 +163,24 @@
                 slices.append(
                     {str(name): max(0.0, float(amount)) for name, amount in report["slices"].items()}
                 )
-                ages = {str(name): [each * MILLISECOND for each in a] for name, a in report["failed"].items()}
-                self.outliers.merge(now, process, ages, now - self.first_seen[key][1])
-        self.outliers.retain_reporters(live)
+                ages = {
+                    str(name): [each * MILLISECOND for each in failure_ages]
+                    for name, failure_ages in report["failed"].items()
+                }
+                self.outlier_detector.merge(now, process, ages, now - self.first_seen[key][1])
+        self.outlier_detector.retain_reporters(live)
         self.members = len(live) + 1
         return slices
 
     async def stop(self) -> None:
-        """Write the final counts and revoke the lease, which releases the slices at once.
+        """Write the final counts, wait, and revoke the lease, which releases the slices.
 
-        The revocation waits for one window, as what was spent within it still counts against the budget."""
+        The wait lasts one window, because spending within the window still counts against the budget. If
+        nothing was spent, there is no wait."""
         with suppress(EtcdUnavailable, LeaseNotFound):
-            await self.engine.commit({}, [(self.counts_key, orjson.dumps(self.counter.mine), 0)])
+            await self.etcd.commit({}, [(self.counts_key, orjson.dumps(self.counter.own_counts), 0)])
         windows = (quota.budget.window for quota in self.quotas.values() if quota.spendings)
         await asyncio.sleep(max(windows, default=timedelta()).total_seconds())
         with suppress(EtcdUnavailable, LeaseNotFound):
             if self.lease:
-                await self.engine.revoke(self.lease)
+                await self.etcd.revoke(self.lease)
--- a/hoplane/shared/grow_only_counter.py
+++ b/hoplane/shared/grow_only_counter.py
@@ -16,14 +16,14 @@
         self.counts_by_process: dict[str, Counts] = {process_id: {}}
 
     @property
-    def mine(self) -> Counts:
+    def own_counts(self) -> Counts:
         return self.counts_by_process[self.process_id]
 
     def increment(self, name: str, amount: int = 1) -> None:
         """Increment a local count. Raises ValueError for a negative amount."""
         if amount < 0:
             raise ValueError(f"{name}: cannot decrement a grow-only counter")
-        self.mine[name] = self.mine.get(name, 0) + amount
+        self.own_counts[name] = self.own_counts.get(name, 0) + amount
 
     def merge(self, process: str, counts: Counts) -> None:
         """Merge the counts that a process reported; these may be older counts of our own."""
--- a/hoplane/shared/member.py
+++ b/hoplane/shared/member.py
@@ -27,17 +27,17 @@
 
 
 class Member:
-    """Connects `FleetSync` with the conductors of this process. No request ever waits for it."""
+    """Connects `FleetSync` with the runtimes of this process. No request ever waits for it."""
 
     def __init__(self, config: Config, runtimes) -> None:
         settings = config.shared
         self.settings, self.runtimes = settings, runtimes
         self.now = monotonic_clock(settings.clock_rate)
         process = f"{config.name}.{os.urandom(4).hex()}"
-        self.engine = EtcdClient(list(settings.etcd_members), settings.call_timeout)
+        self.etcd = EtcdClient(list(settings.etcd_members), settings.call_timeout)
         seed = int.from_bytes(os.urandom(8))
         self.sync = FleetSync(
-            process, self.engine, settings.terms, settings.outlier_rule, settings.interval, self.now, seed
+            process, self.etcd, settings.terms, settings.outlier_rule, settings.interval, self.now, seed
         )
         self.attached: set[int] = set()
         self.reported_ejections: dict[str, timedelta] = {}
@@ -54,13 +54,13 @@
         """Write the final counts and revoke the lease, after all requests were answered."""
         for task in self.tasks:
             task.cancel()
-        self.count()
+        self.update_counts()
         self.log_counts()
         await self.sync.stop()
-        await self.engine.close()
+        await self.etcd.close()
 
     def attach(self, runtime: Runtime) -> None:
-        """Apply the fleet's budgets to a conductor's cold endpoints, and subscribe to its failures."""
+        """Apply the fleet's budgets to a runtime's cold endpoints, and record its attempts' outcomes."""
         self.attached.add(id(runtime))
         slow_start = runtime.state.router.slow_start
         slow_start.shared_budget_allows = lambda server: self.cold_quota(runtime, server).may_spend(
@@ -77,20 +77,22 @@
 
     def reserve_send(self, runtime: Runtime, server: int) -> None:
         """Reserve a send to a server if it is cold; warm servers have no budget."""
-        if self.cold(runtime, server):
+        if self.is_cold(runtime, server):
             self.cold_quota(runtime, server).reserve_send(self.now())
 
     def spend(self, runtime: Runtime, endpoint: ev.Endpoint) -> bool:
-        """Spend quota as a request is written. Returns whether it may go. Logs cold sends for audits."""
+        """Spend quota as a request is written. Return whether the request may be sent.
+
+        Logs sends to cold endpoints for audits."""
         server = runtime.state.server_ids.get(endpoint.name)
-        if server is None or not self.cold(runtime, server):
+        if server is None or not self.is_cold(runtime, server):
             return True
         if fits := self.cold_quota(runtime, server).spend_reserved(self.now()):
             self.log.info("cold_send", endpoint=endpoint.name, monotonic=time.monotonic())
         return fits
 
     @staticmethod
-    def cold(runtime: Runtime, server: int) -> bool:
+    def is_cold(runtime: Runtime, server: int) -> bool:
         """Return whether a known server has not warmed up yet."""
         known, now = runtime.state.router.servers.get(server), to_ns(runtime.clock.now())
         return known is not None and known.warmup_progress(now, runtime.state.settings.cold) < 1
@@ -98,9 +100,9 @@
     def record_outcome(self, endpoint: str, status: Status) -> None:
         """Record the outcome of an attempt for outlier detection."""
         if status in FAILURE_STATUSES:
-            self.sync.outliers.record_failure(self.now(), endpoint)
+            self.sync.outlier_detector.record_failure(self.now(), endpoint)
         elif status in SUCCESS_STATUSES:
-            self.sync.outliers.record_success(endpoint)
+            self.sync.outlier_detector.record_success(endpoint)
 
     async def run_updates(self) -> None:
         """Report ejections to the decision module, update counts, and drop quotas no longer needed."""
@@ -111,7 +113,7 @@
                     self.attach(runtime)
                 self.report_ejections(runtime)
             self.drop_unused_quotas()
-            self.count()
+            self.update_counts()
             if self.now() - last_logged >= COUNTS_LOG_INTERVAL:
                 last_logged = self.now()
                 self.log_counts()
@@ -120,7 +122,7 @@
     def report_ejections(self, runtime: Runtime) -> None:
         """Report ejected endpoints to the decision module, repeatedly while the ejection lasts."""
         now, listed = self.now(), [each.name for each in runtime.state.fleet.values()]
-        ejected = self.sync.outliers.ejected(now, listed)
+        ejected = self.sync.outlier_detector.ejected(now, listed)
         for name in ejected:
             if now - self.reported_ejections.get(name, -EJECTION_REPEAT_INTERVAL) >= EJECTION_REPEAT_INTERVAL:
                 if name not in self.reported_ejections:
@@ -138,18 +140,18 @@
             cold |= {
                 f"cold/{endpoint.name}"
                 for number, endpoint in runtime.state.fleet.items()
-                if self.cold(runtime, number)
+                if self.is_cold(runtime, number)
             }
         for name in set(self.sync.quotas) - cold:
             self.sync.drop_quota(name)
 
-    def count(self) -> None:
-        """Merge the counts of this process's conductors into the counter."""
+    def update_counts(self) -> None:
+        """Merge the counts of this process's runtimes into the fleet's counter."""
         totals: dict[str, int] = {}
         for runtime in self.runtimes():
             for cls, counts in runtime.state.statistics.transactions.items():
-                for what, count in counts.items():
-                    totals[f"{cls}/{what}"] = totals.get(f"{cls}/{what}", 0) + count
+                for outcome, count in counts.items():
+                    totals[f"{cls}/{outcome}"] = totals.get(f"{cls}/{outcome}", 0) + count
         self.sync.counter.merge(self.sync.process, totals)
 
     def log_counts(self) -> None:
@@ -161,5 +163,5 @@
             counts=sync.counter.total(),
             rounds=sync.rounds,
             clashes=sync.clashes,
-            mine=sync.counter.mine,
+            mine=sync.counter.own_counts,
         )
--- a/hoplane/shared/outlier_detection.py
+++ b/hoplane/shared/outlier_detection.py
@@ -1,8 +1,9 @@
 """Fleet-wide outlier detection from failure reports that conductors exchange. No I/O.
 
 A report lists failed requests with their ages. An endpoint is ejected while the fleet has at least
-`min_failures` failures of it that are younger than `ejection_time`. A late report, or one that stays in etcd
-because its conductor is partitioned, therefore cannot extend the ejection."""
+`min_failures` failures of it that are younger than `ejection_time`. The ages in a report increase from the
+moment at which this process first read it, so a report that stays in etcd because its conductor is
+partitioned cannot extend an ejection forever."""
 
 from __future__ import annotations
 
@@ -14,7 +15,9 @@
 
 @dataclass(slots=True, frozen=True)
 class OutlierRule:
-    """When an endpoint is ejected. `max_ejected_fraction` is the upper bound, of the listed endpoints."""
+    """Conditions for ejecting an endpoint.
+
+    At most the fraction `max_ejected_fraction` of the listed endpoints is ejected."""
 
     min_failures: int = 3
     ejection_time: timedelta = timedelta(seconds=4)
@@ -61,7 +64,9 @@
     def merge(
         self, now: timedelta, conductor: str, ages: FailureAges, report_age: timedelta = timedelta()
     ) -> None:
-        """Replace a conductor's last report. `report_age`: time since the report was written."""
+        """Replace a conductor's last report.
+
+        `report_age`: time since this process first read the report, a lower bound of the report's age."""
         self.reported_failures[conductor] = {
             name: [now - report_age - age for age in each][-self.rule.min_failures :]
             for name, each in ages.items()
--- a/hoplane/tool.py
+++ b/hoplane/tool.py
@@ -50,7 +50,9 @@
 
 
 def init(folder: Path, name: str, listen: str, endpoints: list[str], side_effects: bool) -> list[Path]:
-    """Write an application's files into a folder. Existing files are not overwritten."""
+    """Write the configuration files of an application into a folder.
+
+    Raises ConfigError if one of them already exists."""
     lb_endpoints = []
     for endpoint in endpoints:
         host, port = configuration.parse_address({"endpoint": endpoint}, "endpoint")
@@ -62,7 +64,7 @@
         "type": "EDS",
         "metadata": {"filter_metadata": {"hoplane": {"kind": "mixed"}}},
     }
-    load = {
+    load_assignment = {
         "@type": TYPE_URL_PREFIX + "endpoint.v3.ClusterLoadAssignment",
         "cluster_name": name,
         "endpoints": [{"locality": {"zone": "local"}, "lb_endpoints": lb_endpoints}],
@@ -73,7 +75,7 @@
             name=name, quoted=json.dumps(name), listen=json.dumps(listen), effect=effect
         ),
         "clusters.json": json.dumps({"resources": [cluster]}, indent=1) + "\n",
-        "endpoints.json": json.dumps({"resources": [load]}, indent=1) + "\n",
+        "endpoints.json": json.dumps({"resources": [load_assignment]}, indent=1) + "\n",
     }
     folder.mkdir(parents=True, exist_ok=True)
     paths = {folder / file: text for file, text in texts.items()}
--- a/hoplane/xds.py
+++ b/hoplane/xds.py
@@ -54,7 +54,9 @@
 
 
 def read_resources(text: bytes, type_name: str) -> list[dict]:
-    """Parse a file's resources of one type from a DiscoveryResponse, a list or a single resource."""
+    """Parse a file's resources, all of which must be of one type.
+
+    The file is a DiscoveryResponse, a list or a single resource."""
     try:
         parsed = orjson.loads(text)
     except orjson.JSONDecodeError as error:
@@ -136,7 +138,7 @@
 
 
 class FileWatch:
-    """Polls the two files for changes. While one is malformed the last valid list stays in use."""
+    """Polls the two files for changes. While one is malformed, the last valid list stays in use."""
 
     def __init__(
         self, clusters: Path, endpoints: Path, feed: Callable[[str, EndpointsUpdated], None]
@@ -183,7 +185,8 @@
             path = self.paths[1]
             lists = read_endpoints(path.read_bytes(), clusters)
         except (OSError, XdsError, TypeError, AttributeError) as error:
-            # A malformed or partly written file must not empty the fleet: better an outdated list than none.
+            # If a file is malformed or partly written, the last valid list stays in use: such a file must not
+            # empty the fleet.
             log.write_event("xds_broken", file=path.name, error=str(error))
             return f"{path.name}: {error}"
         for name in {*lists, *self.reported}:
--- a/tests/lease_world.py
+++ b/tests/lease_world.py
@@ -164,7 +164,7 @@
                 next_wakeup = member.machine.next_wakeup()
                 if next_wakeup is not None and next_wakeup <= self.local_time(member):
                     self.deliver(member_index, Tick())
-                if member.machine.may_act(self.local_time(member)) is not None:
+                if member.machine.token_for_action(self.local_time(member)) is not None:
                     under_way = member.action_until >= self.now_ms
                     member.action_until = self.now_ms + self.terms.action_timeout / MS / member.clock_rate
                     if (
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -35,7 +35,7 @@
 
 def run_batches(*batches):
     out = io.StringIO()
-    adapter.Host().run(adapter.LineCounter(io.StringIO("".join(batches))), out)
+    adapter.RouterHost().run(adapter.LineCounter(io.StringIO("".join(batches))), out)
     return out.getvalue()
 
 
@@ -70,7 +70,7 @@
 
 
 def test_restart_within_batch_discards_all_state():
-    host = adapter.Host()
+    host = adapter.RouterHost()
     text = batch(START_ROUTER + QUERY + "destroy router_id=router-1\n" + START_ROUTER)
     host.run(adapter.LineCounter(io.StringIO(text)), io.StringIO())
     assert host.routers["router-1"].jobs == {} and len(host.routers["router-1"].servers) == 2
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -102,10 +102,10 @@
     assert machine.next_wakeup() == TERMS.renew_interval
     assert machine.handle(TERMS.renew_interval, Tick()) == [Renew(TERMS.renew_interval, 7)]
     last = ms(2000) * 0.9 - ms(200)
-    assert machine.may_act(last) and machine.may_act(last + ms(1)) is None
+    assert machine.token_for_action(last) and machine.token_for_action(last + ms(1)) is None
     machine.handle(ms(700), Renewed(TERMS.renew_interval, 7))
-    assert machine.may_act(last + ms(1)), "the lease counts from when the renewal was sent"
-    assert machine.may_act(last + TERMS.renew_interval + ms(1)) is None
+    assert machine.token_for_action(last + ms(1)), "the lease counts from when the renewal was sent"
+    assert machine.token_for_action(last + TERMS.renew_interval + ms(1)) is None
 
 
 def test_failed_renewal_is_retried_and_the_tenure_ends_without_success():
@@ -131,7 +131,7 @@
     machine = holding_machine()
     machine.handle(TERMS.renew_interval, Tick())
     assert [type(e) for e in machine.handle(ms(700), LeaseExpired(TERMS.renew_interval, 7))] == [TenureEnded]
-    assert machine.may_act(ms(700)) is None
+    assert machine.token_for_action(ms(700)) is None
 
 
 def test_lease_granted_too_late_is_revoked():
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -248,7 +248,7 @@
     counters, reports = [GrowOnlyCounter(f"p{n}") for n in range(3)], []
     for index, name, more in adds:
         counters[index].increment(name, more)
-        reports.append((counters[index].process_id, dict(counters[index].mine)))
+        reports.append((counters[index].process_id, dict(counters[index].own_counts)))
     reports += reports
     for counter in counters:
         rng.shuffle(reports)
@@ -327,19 +327,19 @@
                 assert quota.granted == BUDGET.pool and one.members == 1
                 one.counter.increment("only/answered", 3)
                 two.counter.increment("only/answered", 4)
-                one.outliers.record_failure(one.now(), "e")
-                two.outliers.record_failure(two.now(), "e")
+                one.outlier_detector.record_failure(one.now(), "e")
+                two.outlier_detector.record_failure(two.now(), "e")
                 await sync_rounds(one, two)
                 assert quota.granted == other.granted == BUDGET.pool / 2 and one.members == two.members == 2
                 assert one.counter.total() == two.counter.total() == {"only/answered": 7}
-                assert set(two.outliers.ejected(two.now(), ["e", "f"])) == {"e"}
+                assert set(two.outlier_detector.ejected(two.now(), ["e", "f"])) == {"e"}
                 await one.stop()
                 await sync_rounds(two, times=2)
                 assert other.granted == BUDGET.pool and two.members == 1
                 assert two.counter.total() == {"only/answered": 7}, "the counts of a stopped process remain"
             finally:
-                await one.engine.close()
-                await two.engine.close()
+                await one.etcd.close()
+                await two.etcd.close()
 
     asyncio.run(run_test())
 
@@ -355,7 +355,7 @@
                 assert sum(quota.granted for _, quota in pair) == BUDGET.pool
             finally:
                 for sync, _ in pair:
-                    await sync.engine.close()
+                    await sync.etcd.close()
 
     asyncio.run(run_test())
 
@@ -366,11 +366,11 @@
             sync, quota = member(engine, "one")
             try:
                 for at, value in enumerate((b"{", b"[]", b'{"slices": 3}', b'{"slices": {"cold/x": "y"}}')):
-                    await sync.engine.commit({}, [(b"hoplane/shared/live/bad%d" % at, value, 0)])
+                    await sync.etcd.commit({}, [(b"hoplane/shared/live/bad%d" % at, value, 0)])
                 await sync.sync_once()
                 assert quota.granted > 0
             finally:
-                await sync.engine.close()
+                await sync.etcd.close()
 
     asyncio.run(run_test())
 
@@ -387,6 +387,6 @@
                 await sync.sync_once()
                 assert quota.granted == BUDGET.pool
             finally:
-                await sync.engine.close()
+                await sync.etcd.close()
 
     asyncio.run(run_test())
