--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -65,7 +65,7 @@
 
 def test_without_etcd_leader_tasks_stop_and_requests_continue(tmp_path):
     result = lease_scenario.run_scenario(
-        Schedule("outage", 2, 6, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),))
+        Schedule("outage", 2, 8, (Fault(1.5, 4.0, "engine", 0, {"pause_s": 4.0}),))
     )
     assert result.violations == []
     start_times = sorted(action.started for action in result.actions)
